--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -104,8 +104,8 @@
 	return fmt.Sprintf("%s:%d", t.File, line)
 }
 
-// Ask is what a request asks for.
-type Ask struct {
+// RequestInfo is what a request asks for.
+type RequestInfo struct {
 	Class       string
 	Effect      frostshift.Effect
 	Deadline    time.Duration // that it asks for; 0: none in particular
@@ -116,7 +116,7 @@
 
 // Check says what of a request is outside the contract at a time, or nil. What is outside
 // stays so, whatever the budget: 403.
-func (t *Terms) Check(a *Ask, now Time) *Violation {
+func (t *Terms) Check(a *RequestInfo, now Time) *Violation {
 	refuse := func(key, title, format string, args ...any) *Violation {
 		return &Violation{Status: 403, Title: title, Detail: fmt.Sprintf("team "+t.Team+" "+format, args...), Team: t.Team, At: t.at(key), Cause: OutsideContract}
 	}
--- a/internal/contract/limiter_test.go
+++ b/internal/contract/limiter_test.go
@@ -220,19 +220,19 @@
 		Lines: map[string]int{"class": 9, "longest_deadline": 4, "valid_until": 3}}
 	good := Time(from.AddDate(0, 6, 0).UnixNano())
 	for _, c := range []struct {
-		ask  Ask
+		ask  RequestInfo
 		now  Time
 		want string // where; "": it is within the contract
 	}{
-		{Ask{Class: "lookup"}, good, ""},
-		{Ask{Class: "lookup", Deadline: time.Second, Body: 100, Repeat: true}, good, ""},
-		{Ask{Class: "booking"}, good, "bins.toml:9"},
-		{Ask{Class: "lookup", Deadline: 2 * time.Second}, good, "bins.toml:4"},
-		{Ask{Class: "lookup", Body: 101}, good, "bins.toml:1"},
-		{Ask{Class: "lookup", Effect: frostshift.Unsafe, Repeat: true}, good, "bins.toml:1"},
-		{Ask{Class: "lookup"}, Time(from.UnixNano()) - 1, "bins.toml:1"},
-		{Ask{Class: "lookup"}, Time(from.UnixNano()), ""},
-		{Ask{Class: "lookup"}, Time(from.AddDate(1, 0, 0).UnixNano()), "bins.toml:3"},
+		{RequestInfo{Class: "lookup"}, good, ""},
+		{RequestInfo{Class: "lookup", Deadline: time.Second, Body: 100, Repeat: true}, good, ""},
+		{RequestInfo{Class: "booking"}, good, "bins.toml:9"},
+		{RequestInfo{Class: "lookup", Deadline: 2 * time.Second}, good, "bins.toml:4"},
+		{RequestInfo{Class: "lookup", Body: 101}, good, "bins.toml:1"},
+		{RequestInfo{Class: "lookup", Effect: frostshift.Unsafe, Repeat: true}, good, "bins.toml:1"},
+		{RequestInfo{Class: "lookup"}, Time(from.UnixNano()) - 1, "bins.toml:1"},
+		{RequestInfo{Class: "lookup"}, Time(from.UnixNano()), ""},
+		{RequestInfo{Class: "lookup"}, Time(from.AddDate(1, 0, 0).UnixNano()), "bins.toml:3"},
 	} {
 		v := tm.Check(&c.ask, c.now)
 		if c.want == "" && v != nil || c.want != "" && (v == nil || v.Status != 403 || v.At != c.want || v.Team != "bins") {
--- a/internal/front/take.go
+++ b/internal/front/take.go
@@ -345,7 +345,7 @@
 // enter holds a request against its team's contract and lets it in, or not.
 func (in *Admission) enter(terms *contract.Terms, class *config.Class, h *Head, held int64, left time.Duration, repeat bool) (*contract.Account, *contract.Violation) {
 	now := in.exchange.Clock().Now()
-	ask := contract.Ask{Class: class.Name, Effect: class.Effect, Body: h.Body, Repeat: repeat}
+	ask := contract.RequestInfo{Class: class.Name, Effect: class.Effect, Body: h.Body, Repeat: repeat}
 	if h.Header.Get("X-Time-Left") != "" {
 		ask.Deadline = left
 	}
