--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -151,8 +151,8 @@
 // second; 0: nothing.
 func (t *Terms) Absolute() float64 { return max(t.Rate, t.Concurrency) }
 
-// Right is a gateway's part of an absolute figure, where gateways share it by what comes to each.
-type Right interface {
+// LimitShare is a gateway's part of an absolute figure, where gateways share it by what comes to each.
+type LimitShare interface {
 	Part(now Time) float64 // from 0 to 1
 	Ask(units float64)     // so much work was wanted here
 }
--- a/internal/contract/scheduler.go
+++ b/internal/contract/scheduler.go
@@ -61,7 +61,7 @@
 	learnt   float64 // ... that it may have out, as its balancer learns it
 	queues   queueing
 	part     float64 // this gateway's part of what contracts state for all
-	rights   func(*Terms) Right
+	rights   func(*Terms) LimitShare
 	v        float64 // virtual time, in seconds of a guarantee
 	out      int
 	seq      uint64
@@ -83,7 +83,7 @@
 type line struct {
 	team    string
 	terms   *Terms
-	right   Right // nil: its part of absolute figures is everybody's
+	right   LimitShare // nil: its part of absolute figures is everybody's
 	weight  float64
 	finish  float64 // tag of its last request's end
 	start   float64 // tag of the request that is next, while some wait
@@ -120,7 +120,7 @@
 
 // SetRights has teams' parts of their absolute figures follow what comes here, where f has a right
 // for a team; nil: all go by SetPart.
-func (s *Scheduler) SetRights(f func(*Terms) Right) { s.rights = f }
+func (s *Scheduler) SetRights(f func(*Terms) LimitShare) { s.rights = f }
 
 // SetCapacity says how many attempts the pool may have out. A team's weight follows with
 // its next request.
--- a/internal/emulator/quota.go
+++ b/internal/emulator/quota.go
@@ -54,9 +54,9 @@
 }
 
 // limits are those that a gateway's pool goes by.
-func (w *World) limits(g *gateway, pool string) (teams func(*contract.Terms) contract.Right, repeats verdict.Right) {
+func (w *World) limits(g *gateway, pool string) (teams func(*contract.Terms) contract.LimitShare, repeats verdict.Right) {
 	mode := w.spec.Quota.Mode
-	teams = func(t *contract.Terms) contract.Right {
+	teams = func(t *contract.Terms) contract.LimitShare {
 		return g.store.Right(quota.Limit{Name: t.Team + " at " + pool, Amount: t.Absolute(), Mode: mode})
 	}
 	for _, t := range w.terms {
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -113,7 +113,7 @@
 }
 
 // team is what a pool goes by for a team; nil: its absolute figures are divided evenly.
-func (r *rights) team(pool string, t *contract.Terms) contract.Right {
+func (r *rights) team(pool string, t *contract.Terms) contract.LimitShare {
 	l, shared := limitOf(pool, t)
 	if !shared {
 		return nil
