--- a/internal/contract/estimate.go
+++ b/internal/contract/estimate.go
@@ -202,11 +202,11 @@
 	s.costs.learnKey(it.Key, work, l.classes[it.Class].mean)
 }
 
-// Blame says whether a request that a host has answered with an error tells something of
+// CountsAgainstHost says whether a request that a host has answered with an error tells something of
 // that host. Where most of a team's requests fail, wherever they go, and next to none of
 // the others' do, it is the team's requests that are at fault: taken for the hosts', they
 // would cost everybody all hosts.
-func (s *Scheduler) Blame(it *Item) bool {
+func (s *Scheduler) CountsAgainstHost(it *Item) bool {
 	l := it.line
 	return !(l.tried >= blameLeast && l.failed > blameOwn*l.tried && s.tried-l.tried >= blameLeast && s.failed-l.failed < blameOthers*(s.tried-l.tried))
 }
--- a/internal/exchange/fair.go
+++ b/internal/exchange/fair.go
@@ -127,7 +127,7 @@
 		return r
 	}
 	p.sched.Result(c.Item, r == frostshift.Failed)
-	if r == frostshift.Failed && !p.sched.Blame(c.Item) {
+	if r == frostshift.Failed && !p.sched.CountsAgainstHost(c.Item) {
 		return frostshift.Canceled
 	}
 	return r
