--- a/internal/contract/limiter.go
+++ b/internal/contract/limiter.go
@@ -119,8 +119,8 @@
 	d.bodies -= body
 }
 
-// Further says whether a request may have another attempt, which is paid as a repeat is.
-func (d *Limiter) Further(a *Account, t *Terms, now Time) bool {
+// AllowAttempt says whether a request may have another attempt, which is paid as a repeat is.
+func (d *Limiter) AllowAttempt(a *Account, t *Terms, now Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	a.deposit(t, now)
--- a/internal/contract/limiter_test.go
+++ b/internal/contract/limiter_test.go
@@ -110,7 +110,7 @@
 	}
 	got := 0
 	for i := range 40 {
-		if i%2 == 0 && enter(true) || i%2 == 1 && d.Further(acc, tm, now) {
+		if i%2 == 0 && enter(true) || i%2 == 1 && d.AllowAttempt(acc, tm, now) {
 			got++
 		}
 	}
@@ -166,7 +166,7 @@
 		all.Go(func() {
 			for i := range 500 {
 				if a, v := d.Enter(tm, 10, i%5 == 4, Time(i)); v == nil {
-					d.Further(a, tm, Time(i))
+					d.AllowAttempt(a, tm, Time(i))
 					d.Leave(a, 10)
 				}
 				if i%100 == 0 {
--- a/internal/exchange/fair.go
+++ b/internal/exchange/fair.go
@@ -107,7 +107,7 @@
 		if harmless {
 			r = Reply{Verdict: Refused, After: p.advice}
 		}
-	case c.Item == nil || p.limiter == nil || p.limiter.Further(c.Item.Account, c.Item.Terms, now):
+	case c.Item == nil || p.limiter == nil || p.limiter.AllowAttempt(c.Item.Account, c.Item.Terms, now):
 		return true
 	case harmless:
 		r = Reply{Verdict: Refused, After: time.Second, Violation: &contract.Violation{Status: 429, Title: "retry budget used up",
