--- a/internal/contract/limiter.go
+++ b/internal/contract/limiter.go
@@ -100,8 +100,8 @@
 	return float64(used+n) <= share*float64(most) || float64(used+n) <= max(1, lendPart*float64(most-all))
 }
 
-// Outside counts a request that was turned away as outside the contract.
-func (d *Limiter) Outside(t *Terms, cause Cause, now Time) {
+// CountRefusal counts a request that was turned away as outside the contract.
+func (d *Limiter) CountRefusal(t *Terms, cause Cause, now Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	a := d.account(t, now)
--- a/internal/front/take.go
+++ b/internal/front/take.go
@@ -350,7 +350,7 @@
 		ask.Deadline = left
 	}
 	if v := terms.Check(&ask, now); v != nil {
-		in.limiter.Outside(terms, v.Cause, now)
+		in.limiter.CountRefusal(terms, v.Cause, now)
 		return nil, v
 	}
 	return in.limiter.Enter(terms, held, repeat, now)
