--- a/internal/contract/rights_test.go
+++ b/internal/contract/rights_test.go
@@ -17,7 +17,7 @@
 func TestRightsGoBeyondThePool(t *testing.T) {
 	s := NewScheduler(1)
 	right := &half{}
-	s.SetRights(func(t *Terms) LimitShare {
+	s.SetLimitShares(func(t *Terms) LimitShare {
 		if t.Team == "team" {
 			return right
 		}
--- a/internal/contract/scheduler.go
+++ b/internal/contract/scheduler.go
@@ -118,9 +118,9 @@
 // SetPart changes this gateway's part.
 func (s *Scheduler) SetPart(part float64) { s.part = part }
 
-// SetRights has teams' parts of their absolute figures follow what comes here, where f has a right
+// SetLimitShares has teams' parts of their absolute figures follow what comes here, where f has a right
 // for a team; nil: all go by SetPart.
-func (s *Scheduler) SetRights(f func(*Terms) LimitShare) { s.rights = f }
+func (s *Scheduler) SetLimitShares(f func(*Terms) LimitShare) { s.rights = f }
 
 // SetCapacity says how many attempts the pool may have out. A team's weight follows with
 // its next request.
--- a/internal/contract/scheduler_test.go
+++ b/internal/contract/scheduler_test.go
@@ -448,7 +448,7 @@
 		b.Run(fmt.Sprintf("idle/%d", n), idle(NewScheduler(1)))
 		shared := NewScheduler(1)
 		registry := quota.NewStore(0, quota.Config{Self: "a", Lease: time.Second})
-		shared.SetRights(func(t *Terms) LimitShare { return registry.Right(quota.Limit{Name: t.Team, Amount: t.Absolute()}) })
+		shared.SetLimitShares(func(t *Terms) LimitShare { return registry.Right(quota.Limit{Name: t.Team, Amount: t.Absolute()}) })
 		for _, t := range list {
 			t.Rate = 1
 		}
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -111,7 +111,7 @@
 	if !m.Platform { // there are no contracts there; elsewhere a reload may bring some
 		pc.Scheduler, pc.FleetShare, pc.Limiter = contract.NewScheduler(1), contract.NewFleetShare(g.instances), g.limiter
 		if r := g.rights; r != nil {
-			pc.Scheduler.SetRights(func(t *contract.Terms) contract.LimitShare { return r.team(def.Name, t) })
+			pc.Scheduler.SetLimitShares(func(t *contract.Terms) contract.LimitShare { return r.team(def.Name, t) })
 			pc.RepeatRight = r.repeats(def.Name)
 		}
 	}
