--- a/internal/contract/dispatch.go
+++ b/internal/contract/dispatch.go
@@ -122,8 +122,8 @@
 	return it, after
 }
 
-// Due is when Expired is to be asked, or 0 if nothing waits.
-func (s *Scheduler) Due() Time {
+// NextExpiry is when Expired is to be asked, or 0 if nothing waits.
+func (s *Scheduler) NextExpiry() Time {
 	if len(s.waiting.list) == 0 {
 		return 0
 	}
--- a/internal/exchange/fair.go
+++ b/internal/exchange/fair.go
@@ -70,7 +70,7 @@
 		c := it.Owner.(*Call)
 		p.finish(c, late(c, after))
 	}
-	if due := p.sched.Due(); due > 0 {
+	if due := p.sched.NextExpiry(); due > 0 {
 		if due = min(due, now+pumpEvery); p.pumpAt == 0 || due < p.pumpAt {
 			p.pumpAt = due
 			heap.Push(&p.timers, wake{due, tokenPump})
