--- a/cmd/stilespool/contracts.go
+++ b/cmd/stilespool/contracts.go
@@ -56,7 +56,7 @@
 			fmt.Fprintf(out, "pool %s: its hosts are not in the file; -capacity tells what it can hold\n", p.Name)
 			continue
 		}
-		fit := m.Contracts.Fit(n)
+		fit := m.Contracts.TotalGuarantee(n)
 		word := "fits"
 		if fit > 1 {
 			word, oversold = "OVERSOLD", true
--- a/internal/contract/registry.go
+++ b/internal/contract/registry.go
@@ -176,9 +176,9 @@
 	return nil, unknown("no team named", "nothing in the request names a team")
 }
 
-// Fit says how the guarantees of all teams fit a pool of so many attempts at once: the
+// TotalGuarantee says how the guarantees of all teams fit a pool of so many attempts at once: the
 // part of it that is guaranteed. Above 1 it is oversold.
-func (b *Registry) Fit(capacity float64) (sum float64) {
+func (b *Registry) TotalGuarantee(capacity float64) (sum float64) {
 	for _, t := range b.terms {
 		w := t.weight(capacity, 1)
 		if w > leastWeight {
