--- a/internal/contract/estimate.go
+++ b/internal/contract/estimate.go
@@ -211,9 +211,9 @@
 	return !(l.tried >= blameLeast && l.failed > blameOwn*l.tried && s.tried-l.tried >= blameLeast && s.failed-l.failed < blameOthers*(s.tried-l.tried))
 }
 
-// Result counts what a host has answered for Blame; counts fade, so that about the last
+// RecordResult counts what a host has answered for Blame; counts fade, so that about the last
 // few hundred answers tell.
-func (s *Scheduler) Result(it *Item, failed bool) {
+func (s *Scheduler) RecordResult(it *Item, failed bool) {
 	l := it.line
 	l.tried++
 	s.tried++
--- a/internal/exchange/fair.go
+++ b/internal/exchange/fair.go
@@ -126,7 +126,7 @@
 	if c.Item == nil || p.sched == nil || r != frostshift.OK && r != frostshift.Failed {
 		return r
 	}
-	p.sched.Result(c.Item, r == frostshift.Failed)
+	p.sched.RecordResult(c.Item, r == frostshift.Failed)
 	if r == frostshift.Failed && !p.sched.CountsAgainstHost(c.Item) {
 		return frostshift.Canceled
 	}
