--- a/internal/contract/fleetshare.go
+++ b/internal/contract/fleetshare.go
@@ -37,9 +37,9 @@
 // even.
 func (p *FleetShare) SetInstances(instances int) { p.instances = float64(max(instances, 1)) }
 
-// Look takes in how things are: whether requests wait here, and whether hosts are short,
+// Update takes in how things are: whether requests wait here, and whether hosts are short,
 // that is, hold as much as they can answer in time.
-func (p *FleetShare) Look(now Time, wanted, short bool) {
+func (p *FleetShare) Update(now Time, wanted, short bool) {
 	dt := (now - p.at).Seconds()
 	if p.at == 0 || dt <= 0 {
 		p.at = max(p.at, now)
--- a/internal/contract/gateways_test.go
+++ b/internal/contract/gateways_test.go
@@ -32,7 +32,7 @@
 			}
 			asked := demand * by[i]
 			if !fixed {
-				p.Look(now, asked > p.Value(), short)
+				p.Update(now, asked > p.Value(), short)
 			}
 			given += min(asked, p.Value())
 		}
@@ -73,19 +73,19 @@
 func TestPartSteps(t *testing.T) {
 	p := NewFleetShare(10)
 	now := Time(time.Hour)
-	p.Look(now, true, false)
-	p.Look(now-Time(time.Minute), true, false) // a step back
+	p.Update(now, true, false)
+	p.Update(now-Time(time.Minute), true, false) // a step back
 	if p.Value() != 0.1 {
 		t.Errorf("part %v before any time has passed", p.Value())
 	}
 	for range 100 {
 		now += Time(time.Second)
-		p.Look(now, true, false)
+		p.Update(now, true, false)
 	}
 	if got := p.Value(); math.Abs(got-0.15) > 1e-9 {
 		t.Errorf("part %v after a hundred seconds, want 0.15", got)
 	}
-	p.Look(now+Time(5*time.Second), true, true)
+	p.Update(now+Time(5*time.Second), true, true)
 	if got := p.Value(); got > 0.1001 {
 		t.Errorf("part %v five seconds into a shortage", got)
 	}
--- a/internal/exchange/fair.go
+++ b/internal/exchange/fair.go
@@ -49,7 +49,7 @@
 		p.lookedAt = now
 		p.sched.SetCapacity(now, p.b.Capacity(now))
 		out, waiting, _ := p.sched.Counts()
-		p.fleetShare.Look(now, out > 0, waiting > 0)
+		p.fleetShare.Update(now, out > 0, waiting > 0)
 		p.sched.SetPart(p.fleetShare.Value())
 	}
 }
