--- a/internal/contract/scheduler.go
+++ b/internal/contract/scheduler.go
@@ -115,8 +115,8 @@
 	return &Scheduler{capacity: 1, part: part, lines: map[string]*line{}}
 }
 
-// SetPart changes this gateway's part.
-func (s *Scheduler) SetPart(part float64) { s.part = part }
+// SetShare changes this gateway's part.
+func (s *Scheduler) SetShare(part float64) { s.part = part }
 
 // SetLimitShares has teams' parts of their absolute figures follow what comes here, where f has a right
 // for a team; nil: all go by SetPart.
--- a/internal/exchange/fair.go
+++ b/internal/exchange/fair.go
@@ -50,7 +50,7 @@
 		p.sched.SetCapacity(now, p.b.Capacity(now))
 		out, waiting, _ := p.sched.Counts()
 		p.fleetShare.Update(now, out > 0, waiting > 0)
-		p.sched.SetPart(p.fleetShare.Value())
+		p.sched.SetShare(p.fleetShare.Value())
 	}
 }
 
