--- a/cmd/stilespool/quota.go
+++ b/cmd/stilespool/quota.go
@@ -84,7 +84,7 @@
 	case t.Absolute() == 0:
 		fmt.Fprintf(out, "%s has neither rate nor concurrency (%s): its share is of each gateway's hosts, and nothing is shared among gateways\n", team, t.File)
 		return nil
-	case t.Apart:
+	case t.SplitEvenly:
 		fmt.Fprintf(out, "%s has limit_mode = \"even\" (%s:%d): each of %d gateways has %.4g of %.4g\n", team, t.File, t.Lines["limit_mode"], m.Instances, t.Absolute()/float64(m.Instances), t.Absolute())
 		return nil
 	}
--- a/internal/config/quota.go
+++ b/internal/config/quota.go
@@ -80,5 +80,5 @@
 	case m.Quota == nil && !apart:
 		d.fail("limit_mode", "%q wants gateways that share limits: set quota in the gateway's file", text)
 	}
-	t.Mode, t.Apart = mode, apart
+	t.Mode, t.SplitEvenly = mode, apart
 }
--- a/internal/config/quota_test.go
+++ b/internal/config/quota_test.go
@@ -30,7 +30,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if q, c := m.Quota, m.Contracts.Team("bins"); q.Lease != time.Second || q.Mode != quota.MostlyFull || c.Mode != quota.NeverOver || c.Apart || c.Absolute() != 4 {
+	if q, c := m.Quota, m.Contracts.Team("bins"); q.Lease != time.Second || q.Mode != quota.MostlyFull || c.Mode != quota.NeverOver || c.SplitEvenly || c.Absolute() != 4 {
 		t.Errorf("%+v, %+v", q, c)
 	}
 	if m, err := parse(strings.Replace(whole, "lease = \"1s\"\nmode = \"mostly_full\"\n", "", 1), strings.Replace(team, "limit_mode = \"never_over\"\n", "", 1)); err != nil || m.Quota.Lease != 2*time.Second || m.Contracts.Team("bins").Mode != quota.MostlyFull {
--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -50,9 +50,9 @@
 	Burst       time.Duration // of its guarantee that it may save up
 	Ceiling     float64       // part of a pool's capacity that it never goes beyond; 0: 1
 	RetryRatio  float64       // repeats and further attempts for each first request
-	// Apart says that Rate and Concurrency are divided evenly among gateways, whatever else they
+	// SplitEvenly says that Rate and Concurrency are divided evenly among gateways, whatever else they
 	// may know; else Mode is what gives where their links fail.
-	Apart bool
+	SplitEvenly bool
 	Mode  quota.Mode
 
 	place int            // in its registry
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -125,7 +125,7 @@
 
 // limitOf is what a team's absolute figures are at a pool; false: they are divided evenly.
 func limitOf(pool string, t *contract.Terms) (quota.Limit, bool) {
-	return quota.Limit{Name: TeamLimit(pool, t.Team), Amount: t.Absolute(), Mode: t.Mode}, t.Absolute() > 0 && !t.Apart
+	return quota.Limit{Name: TeamLimit(pool, t.Team), Amount: t.Absolute(), Mode: t.Mode}, t.Absolute() > 0 && !t.SplitEvenly
 }
 
 // TeamLimit names the limit of a team at a pool.
