--- a/internal/contract/dispatch.go
+++ b/internal/contract/dispatch.go
@@ -4,223 +4,224 @@
 	"time"
 )
 
-// dispatch counts a request as out.
-func (s *Scheduler) dispatch(l *line, it *Item) {
-	s.v = max(s.v, l.start)
-	l.finish = l.start + it.cost/l.weight
-	l.start = l.finish
-	it.state = itemOut
-	l.out++
-	s.out++
-	it.lent = float64(l.out) > max(l.weight*s.capacity, 1)
-}
-
-// release looks again at lines that were at their ceiling.
-func (s *Scheduler) release() {
-	rest := s.held[:0]
-	for _, l := range s.held {
+// dispatch counts a request as in flight and advances its team's tags.
+func (s *Scheduler) dispatch(q *teamQueue, it *Item) {
+	s.virtualTime = max(s.virtualTime, q.startTag)
+	q.finishTag = q.startTag + it.cost/q.weight
+	q.startTag = q.finishTag
+	it.state = itemInFlight
+	q.inFlight++
+	s.inFlight++
+	it.overGuarantee = float64(q.inFlight) > max(q.weight*s.capacity, 1)
+}
+
+// unblock checks the queues that were at their ceiling again, and makes ready those that no longer are.
+func (s *Scheduler) unblock() {
+	rest := s.blocked[:0]
+	for _, q := range s.blocked {
 		switch {
-		case len(l.items.list) == 0:
-			l.isHeld = false
-		case s.atCeiling(l):
-			rest = append(rest, l)
+		case len(q.items.list) == 0:
+			q.isBlocked = false
+		case s.atCeiling(q):
+			rest = append(rest, q)
 		default:
-			l.isHeld = false
-			s.queue(l)
+			q.isBlocked = false
+			s.pushReady(q)
 		}
 	}
-	clear(s.held[len(rest):])
-	s.held = rest
+	clear(s.blocked[len(rest):])
+	s.blocked = rest
 }
 
-// Next is the request whose turn it is, or nil if none waits that may go now.
+// Next returns the request to send next, or nil if none that waits may be sent now.
 func (s *Scheduler) Next(now Time) *Item {
-	s.tick(now)
-	var l *line
-	if s.room() && len(s.ready.list) > 0 {
-		l = s.ready.list[0]
-	} else if l = s.nextOwed(); l == nil {
+	s.advanceClock(now)
+	var q *teamQueue
+	if s.hasRoom() && len(s.ready.list) > 0 {
+		q = s.ready.list[0]
+	} else if q = s.nextOwed(); q == nil {
 		return nil
 	}
-	if l.inReady >= 0 {
-		s.ready.remove(l)
+	if q.readyIndex >= 0 {
+		s.ready.remove(q)
 	}
-	it := l.items.list[0]
-	s.take(l, it)
-	s.dispatch(l, it)
-	if len(l.items.list) > 0 {
-		s.enter(l)
-		s.mayOwe(l)
+	it := q.items.list[0]
+	s.removeWaiting(q, it)
+	s.dispatch(q, it)
+	if len(q.items.list) > 0 {
+		s.makeReady(q)
+		s.addOwedCandidate(q)
 	}
 	return it
 }
 
-// owed says whether a team has fewer attempts out than its right to absolute figures stands for, in
-// whole ones and as long as they take now. These go whatever holds the capacity here: a gateway to
-// which most of a team's requests come has no larger part of the hosts than the others, and all
-// gateways together owe no more than the contract states.
-func (s *Scheduler) owed(l *line) bool {
-	return l.right != nil && !s.atCeiling(l) && float64(l.out)+1 <= s.attempts(l)
+// owed reports whether a team has fewer attempts in flight than its share of its absolute limits
+// allows, in whole attempts and at their present duration. Such attempts are sent whoever uses the
+// capacity here: a gateway that gets most of a team's requests has no larger share of the hosts than
+// the others, and all gateways together owe no more than the contract states.
+func (s *Scheduler) owed(q *teamQueue) bool {
+	return q.limitShare != nil && !s.atCeiling(q) && float64(q.inFlight)+1 <= s.owedAttempts(q)
 }
 
-// attempts is how many a line's right stands for, as long as they take now.
-func (s *Scheduler) attempts(l *line) float64 {
-	return l.right.Part(s.now) * l.terms.Absolute() * s.queues.slowness()
+// owedAttempts returns how many attempts a team's share of its limits allows, at their present duration.
+func (s *Scheduler) owedAttempts(q *teamQueue) float64 {
+	return q.limitShare.Part(s.now) * q.terms.Absolute() * s.congestion.slowdown()
 }
 
-// mayOwe has Next look whether a line is owed an attempt.
-func (s *Scheduler) mayOwe(l *line) {
-	if !l.inOwing && len(l.items.list) > 0 && s.owed(l) {
-		l.inOwing = true
-		s.owing = append(s.owing, l)
+// addOwedCandidate makes nextOwed examine a queue if it is owed an attempt.
+func (s *Scheduler) addOwedCandidate(q *teamQueue) {
+	if !q.isOwedCandidate && len(q.items.list) > 0 && s.owed(q) {
+		q.isOwedCandidate = true
+		s.owedCandidates = append(s.owedCandidates, q)
 	}
 }
 
-// nextOwed is a line that is owed an attempt and waits for it, or nil.
-func (s *Scheduler) nextOwed() *line {
-	for len(s.owing) > 0 {
-		l := s.owing[0]
-		s.owing[0] = nil
-		s.owing = s.owing[1:]
-		if l.inOwing = false; len(l.items.list) > 0 && s.owed(l) {
-			return l
+// nextOwed returns a queue that is owed an attempt and has a request waiting, or nil.
+func (s *Scheduler) nextOwed() *teamQueue {
+	for len(s.owedCandidates) > 0 {
+		q := s.owedCandidates[0]
+		s.owedCandidates[0] = nil
+		s.owedCandidates = s.owedCandidates[1:]
+		if q.isOwedCandidate = false; len(q.items.list) > 0 && s.owed(q) {
+			return q
 		}
 	}
-	s.owing = nil
+	s.owedCandidates = nil
 	return nil
 }
 
-// take takes a waiting request out of its line and of the heap of times. Its line must
-// not be in the heap of lines, or stay right there.
-func (s *Scheduler) take(l *line, it *Item) {
-	l.items.remove(it)
+// removeWaiting removes a waiting request from its queue and from the expiry heap. The queue must
+// not be in the ready heap, or must keep its position in it.
+func (s *Scheduler) removeWaiting(q *teamQueue, it *Item) {
+	q.items.remove(it)
 	s.waiting.remove(it)
-	l.waits = max(0, l.waits-it.cost)
-	if len(l.items.list) == 0 {
-		l.waits = 0
-		s.weights -= l.weight
+	q.waitingWork = max(0, q.waitingWork-it.cost)
+	if len(q.items.list) == 0 {
+		q.waitingWork = 0
+		s.waitingWeight -= q.weight
 		if len(s.waiting.list) == 0 {
-			s.weights = 0 // no rounding is carried on
+			s.waitingWeight = 0 // avoids accumulated rounding errors
 		}
-		if l.inReady >= 0 {
-			s.ready.remove(l)
+		if q.readyIndex >= 0 {
+			s.ready.remove(q)
 		}
 	}
 }
 
-// Expired is a waiting request that can't be answered in time any more, with advice when
-// to come back, or nil.
+// Expired returns a waiting request that can no longer be answered in time, with advice when to
+// retry, or nil.
 func (s *Scheduler) Expired(now Time) (*Item, time.Duration) {
-	s.tick(now)
-	if len(s.waiting.list) == 0 || s.waiting.list[0].latest >= s.now {
+	s.advanceClock(now)
+	if len(s.waiting.list) == 0 || s.waiting.list[0].sendBy >= s.now {
 		return nil, 0
 	}
 	it := s.waiting.list[0]
-	after := s.backIn(it.line)
-	s.take(it.line, it)
+	after := s.retryAfter(it.queue)
+	s.removeWaiting(it.queue, it)
 	it.state = itemEnded
 	return it, after
 }
 
-// NextExpiry is when Expired is to be asked, or 0 if nothing waits.
+// NextExpiry returns when to call Expired next, or 0 if nothing waits.
 func (s *Scheduler) NextExpiry() Time {
 	if len(s.waiting.list) == 0 {
 		return 0
 	}
-	return s.waiting.list[0].latest + 1
+	return s.waiting.list[0].sendBy + 1
 }
 
-// Done ends a request, wherever it is; work is the time that its attempts took at hosts.
-// cut says that an attempt was called off or timed out: what it would have cost is not
-// known, only that it is no less. It may be called more than once.
+// Done ends a request in any state; work is the time that its attempts took at hosts. cut says
+// that an attempt was cancelled or timed out: its full cost is then unknown, but no less than work.
+// Done may be called more than once.
 func (s *Scheduler) Done(now Time, it *Item, work time.Duration, cut bool) {
-	s.tick(now)
-	l := it.line
+	s.advanceClock(now)
+	q := it.queue
 	switch it.state {
-	case itemWaits:
-		s.take(l, it)
-	case itemOut:
+	case itemWaiting:
+		s.removeWaiting(q, it)
+	case itemInFlight:
 		if it.parked {
 			it.parked = false
-			l.parked--
+			q.parked--
 		} else {
-			l.out--
-			s.out--
+			q.inFlight--
+			s.inFlight--
 		}
-		s.settle(l, it, max(work.Seconds(), 0), cut)
-		s.mayOwe(l)
-		if l.isHeld {
-			s.release()
+		s.settleCost(q, it, max(work.Seconds(), 0), cut)
+		s.addOwedCandidate(q)
+		if q.isBlocked {
+			s.unblock()
 		}
-		s.forget()
+		s.dropIdleQueues()
 	}
 	it.state = itemEnded
 }
 
-// settle charges what a request has cost in place of what it was thought to.
-func (s *Scheduler) settle(l *line, it *Item, work float64, cut bool) {
-	s.owe(l, (max(work, leastCost)-it.cost)/l.weight)
+// settleCost corrects the charge of a request from its estimated to its actual cost.
+func (s *Scheduler) settleCost(q *teamQueue, it *Item, work float64, cut bool) {
+	s.adjustTags(q, (max(work, minCost)-it.cost)/q.weight)
 	if !cut || work > it.cost {
-		s.learn(l, it, work)
+		s.recordCost(q, it, work)
 	}
 	if it.Account != nil {
 		it.Account.Work.Add(int64(seconds(work)))
-		if it.lent {
+		if it.overGuarantee {
 			it.Account.Lent.Add(int64(seconds(work)))
 		}
 	}
 }
 
-// owe moves a line's tags by what it has cost beyond what was charged.
-func (s *Scheduler) owe(l *line, diff float64) {
-	l.finish = min(l.finish+diff, max(s.v+mostDebt, l.finish))
-	if len(l.items.list) > 0 {
-		l.start = min(l.start+diff, max(s.v+mostDebt, l.start))
-		if l.inReady >= 0 {
-			s.ready.fix(l)
+// adjustTags advances a queue's tags by cost that was not charged, and back if diff is negative. diff
+// is in seconds of the team's guarantee.
+func (s *Scheduler) adjustTags(q *teamQueue, diff float64) {
+	q.finishTag = min(q.finishTag+diff, max(s.virtualTime+maxDebt, q.finishTag))
+	if len(q.items.list) > 0 {
+		q.startTag = min(q.startTag+diff, max(s.virtualTime+maxDebt, q.startTag))
+		if q.readyIndex >= 0 {
+			s.ready.fix(q)
 		}
 	}
 }
 
-// Park takes a request that is out from what its team holds of the capacity, until Unpark or
-// Done: it waits for its client and not for a host.
+// Park stops counting a request that is in flight against the capacity, until Unpark or Done: it
+// waits for its client and not for a host.
 func (s *Scheduler) Park(now Time, it *Item) {
-	s.tick(now)
-	if it.state != itemOut || it.parked {
+	s.advanceClock(now)
+	if it.state != itemInFlight || it.parked {
 		return
 	}
 	it.parked = true
-	it.line.parked++
-	it.line.out--
-	s.out--
-	if it.line.isHeld {
-		s.release()
+	it.queue.parked++
+	it.queue.inFlight--
+	s.inFlight--
+	if it.queue.isBlocked {
+		s.unblock()
 	}
 }
 
-// Unpark counts it again.
+// Unpark counts a parked request against the capacity again.
 func (s *Scheduler) Unpark(now Time, it *Item) {
-	s.tick(now)
-	if it.state == itemOut && it.parked {
+	s.advanceClock(now)
+	if it.state == itemInFlight && it.parked {
 		it.parked = false
-		it.line.parked--
-		it.line.out++
-		s.out++
+		it.queue.parked--
+		it.queue.inFlight++
+		s.inFlight++
 	}
 }
 
-// Charge has a request's team pay for work that came to light after Done: that of an answer's
-// body on its way.
+// Charge charges a request's team for work that became known after Done: that of transferring the
+// body of an answer.
 func (s *Scheduler) Charge(now Time, it *Item, work time.Duration) {
-	s.tick(now)
-	if it.line == nil || work <= 0 {
+	s.advanceClock(now)
+	if it.queue == nil || work <= 0 {
 		return
 	}
-	l := s.line(it.Terms)
-	s.owe(l, work.Seconds()/l.weight)
+	q := s.queueFor(it.Terms)
+	s.adjustTags(q, work.Seconds()/q.weight)
 	if it.Account != nil {
 		it.Account.Work.Add(int64(work))
-		if it.lent {
+		if it.overGuarantee {
 			it.Account.Lent.Add(int64(work))
 		}
 	}
--- a/internal/contract/estimate.go
+++ b/internal/contract/estimate.go
@@ -2,238 +2,237 @@
 
 import "time"
 
-// Estimates of what a request will cost come from what such requests have cost: by key
-// where that key has been seen lately, else by the team's class, else by the class.
+// The cost of a request is estimated from what similar requests have cost: by key if that key has
+// been seen recently, else by the team's class, else by the class over all teams.
 
 const (
-	estimateWeight = 0.1     // of a sample in a mean
-	firstEstimate  = 0.020   // seconds, before anything is known
-	keyCells       = 1 << 12 // keys that a scheduler remembers
-	leastCost      = 1e-6    // seconds: a request is never free
+	sampleWeight    = 0.1     // of a sample in a mean
+	initialEstimate = 0.020   // seconds, before any sample
+	keySlots        = 1 << 12 // keys that a scheduler can remember
+	minCost         = 1e-6    // seconds: a request is never free
 )
 
-// guess is a mean that its first sample sets.
-type guess struct {
-	mean float64
-	seen bool
-	slow float64 // the same over more samples
-	calm float64 // its lowest, drifting up: what such requests cost where they do not queue
-	at   Time    // of the last sample
-	n    int
+// costEstimate is a moving average that its first sample sets.
+type costEstimate struct {
+	mean       float64
+	sampled    bool
+	slowMean   float64 // the same mean over more samples
+	baseline   float64 // lowest slowMean, drifting up: the cost without queueing at hosts
+	lastSample Time    // time of the last sample that updated baseline
+	samples    int
 }
 
-// Queueing at hosts makes all requests look alike: ten milliseconds of work behind a
-// hundred cost a hundred and ten, and a team would pay for the others' queue. So the pool is
-// given less than its balancer lets it hold, as long as requests take a good deal longer
-// than in calm times (as in TCP Vegas: Brakmo and Peterson 1995).
-type queueing struct {
-	spent, calm float64 // seconds of late: taken, and what they would have in calm times
-	held        float64 // part of the capacity that is held back
-	at          Time
+// congestion reduces the capacity that a pool is given below what its balancer allows, while requests
+// take much longer than without queueing at hosts (as in TCP Vegas: Brakmo and Peterson 1995).
+// Queueing at hosts makes the costs of all requests look alike: 10 ms of work behind 100 ms of other
+// work would cost 110 ms, and a team would pay for the queue of the others.
+type congestion struct {
+	actual, baseline float64 // recent requests, in seconds: actual cost, and baseline cost
+	heldBack         float64 // fraction of the capacity that is held back
+	lastUpdate       Time
 }
 
 const (
-	slowWeight  = 0.02
-	calmDrift   = 0.005 // a second: by samples, a flood of them would soon pass for calm
-	calmAfter   = 20    // samples
-	queueFades  = 0.99  // of spent and calm, with each sample
-	queueMuch   = 1.8   // times calm above which less is given
-	queueLittle = 1.5   // ... and below which more is
-	queueEvery  = Time(20 * time.Millisecond)
-	queueLess   = 0.95 // of the part that is given, each time
-	queueMore   = 0.01
-	queueLeast  = 0.25 // of the capacity is given always
-	slowMost    = 8
+	slowSampleWeight   = 0.02
+	baselineDrift      = 0.005 // per second; per sample, a flood of samples would soon raise the baseline
+	minBaselineSamples = 20
+	congestionDecay    = 0.99 // factor of actual and baseline, per sample
+	congestionHigh     = 1.8  // ratio of actual to baseline above which the share is reduced
+	congestionLow      = 1.5  // ratio below which the share is increased
+	congestionInterval = Time(20 * time.Millisecond)
+	congestionDecrease = 0.95 // factor of the usable share, per interval
+	congestionIncrease = 0.01
+	minUsableShare     = 0.25 // fraction of the capacity that is always usable
+	maxSlowdown        = 8
 )
 
-// sample takes in what a request has cost.
-func (q *queueing) sample(now Time, g *guess, work float64) {
-	if g.n == 0 {
-		g.slow = work
+// sample records the cost of a request.
+func (c *congestion) sample(now Time, g *costEstimate, work float64) {
+	if g.samples == 0 {
+		g.slowMean = work
 	}
-	g.slow += max(slowWeight, 1/float64(g.n+1)) * (work - g.slow)
-	if g.n++; g.n < calmAfter {
+	g.slowMean += max(slowSampleWeight, 1/float64(g.samples+1)) * (work - g.slowMean)
+	if g.samples++; g.samples < minBaselineSamples {
 		return
 	}
-	g.calm *= 1 + calmDrift*min((now-g.at).Seconds(), 1)
-	if g.at = now; g.calm == 0 || g.slow < g.calm {
-		g.calm = g.slow
+	g.baseline *= 1 + baselineDrift*min((now-g.lastSample).Seconds(), 1)
+	if g.lastSample = now; g.baseline == 0 || g.slowMean < g.baseline {
+		g.baseline = g.slowMean
 	}
-	q.spent = q.spent*queueFades + work
-	q.calm = q.calm*queueFades + g.calm
+	c.actual = c.actual*congestionDecay + work
+	c.baseline = c.baseline*congestionDecay + g.baseline
 }
 
-// calmPart is what part of the cost of a class of the line's is work, and not waiting at hosts: what
-// contracts state is work, and gateways whose requests wait longer must not seem to want more.
-func (l *line) calmPart(class int) float64 {
-	if class >= len(l.classes) || l.classes[class].calm == 0 {
+// workFraction returns the fraction of the cost of a class of the team that is work, and not waiting
+// at hosts. Contracts state work, and gateways whose requests wait longer must not report more demand.
+func (q *teamQueue) workFraction(class int) float64 {
+	if class >= len(q.classCosts) || q.classCosts[class].baseline == 0 {
 		return 1
 	}
-	// The lowest mean is below the usual one by chance alone; a little longer is no queue.
-	return min(1, queueLittle*l.classes[class].calm/l.classes[class].mean)
+	// The lowest mean is below the usual one by chance alone; a slightly longer time is no queue.
+	return min(1, congestionLow*q.classCosts[class].baseline/q.classCosts[class].mean)
 }
 
-// slowness is how many times as long as in calm times requests take now, up to slowMost.
-func (q *queueing) slowness() float64 {
-	if q.calm == 0 {
+// slowdown returns the ratio of the present cost of requests to their baseline, from 1 to maxSlowdown.
+func (c *congestion) slowdown() float64 {
+	if c.baseline == 0 {
 		return 1
 	}
-	return min(max(q.spent/q.calm, 1), slowMost)
+	return min(max(c.actual/c.baseline, 1), maxSlowdown)
 }
 
-// part is the part of the capacity that is given.
-func (q *queueing) part(now Time) float64 {
-	if now-q.at >= queueEvery && q.calm > 0 {
-		q.at = now
-		given := 1 - q.held
-		switch ratio := q.spent / q.calm; {
-		case ratio > queueMuch:
-			given = max(queueLeast, given*queueLess)
-		case ratio < queueLittle:
-			given = min(1, given+queueMore)
+// usableShare returns the fraction of the capacity that may be used, and adjusts it once an interval.
+func (c *congestion) usableShare(now Time) float64 {
+	if now-c.lastUpdate >= congestionInterval && c.baseline > 0 {
+		c.lastUpdate = now
+		usable := 1 - c.heldBack
+		switch ratio := c.actual / c.baseline; {
+		case ratio > congestionHigh:
+			usable = max(minUsableShare, usable*congestionDecrease)
+		case ratio < congestionLow:
+			usable = min(1, usable+congestionIncrease)
 		}
-		q.held = 1 - given
+		c.heldBack = 1 - usable
 	}
-	return 1 - q.held
+	return 1 - c.heldBack
 }
 
-func (g *guess) add(x float64) {
-	if !g.seen {
-		g.mean, g.seen = x, true
+func (g *costEstimate) add(x float64) {
+	if !g.sampled {
+		g.mean, g.sampled = x, true
 		return
 	}
-	g.mean += estimateWeight * (x - g.mean)
+	g.mean += sampleWeight * (x - g.mean)
 }
 
-// keyCell remembers one key; another that falls there replaces it.
-type keyCell struct {
+// keySlot remembers the cost of one key; another key that maps to the slot may replace it.
+type keySlot struct {
 	key  uint64
 	cost float32
 }
 
-// Costs remembers what requests have cost, by class and, where one differs from its class,
-// by key. It is bounded, and not safe for concurrent use.
+// Costs remembers what requests have cost, by class and, for keys that differ from their class,
+// by key. Its size is bounded. It is not safe for concurrent use.
 type Costs struct {
-	classes []guess
-	keys    []keyCell
+	classCosts []costEstimate
+	keys       []keySlot
 }
 
-// of is what a key has cost, or else its class; false: nothing is known.
-func (c *Costs) of(class int, key uint64) (float64, bool) {
-	if cost, ok := c.ofKey(key); ok {
+// costOf returns the cost of a key, or else of its class, in seconds; false means that neither is known.
+func (c *Costs) costOf(class int, key uint64) (float64, bool) {
+	if cost, ok := c.costOfKey(key); ok {
 		return cost, true
 	}
-	if class < len(c.classes) && c.classes[class].seen {
-		return c.classes[class].mean, true
+	if class < len(c.classCosts) && c.classCosts[class].sampled {
+		return c.classCosts[class].mean, true
 	}
 	return 0, false
 }
 
-func (c *Costs) ofKey(key uint64) (float64, bool) {
+func (c *Costs) costOfKey(key uint64) (float64, bool) {
 	if key != 0 && c.keys != nil {
-		if cell := &c.keys[key%keyCells]; cell.key == key {
-			return float64(cell.cost), true
+		if slot := &c.keys[key%keySlots]; slot.key == key {
+			return float64(slot.cost), true
 		}
 	}
 	return 0, false
 }
 
-// Ratio is what a request is expected to cost beside the mean of its class; 1 where nothing
-// is known of it.
+// Ratio returns the expected cost of a request relative to the mean of its class, or 1 if its key or
+// class is unknown.
 func (c *Costs) Ratio(class int, key uint64) float64 {
-	cost, ok := c.ofKey(key)
-	if !ok || class >= len(c.classes) || c.classes[class].mean <= 0 {
+	cost, ok := c.costOfKey(key)
+	if !ok || class >= len(c.classCosts) || c.classCosts[class].mean <= 0 {
 		return 1
 	}
-	return cost / c.classes[class].mean
+	return cost / c.classCosts[class].mean
 }
 
-// Learn takes in what a request has cost, in seconds.
+// Learn records what a request has cost, in seconds.
 func (c *Costs) Learn(class int, key uint64, work float64) {
 	c.learnClass(class, work)
-	c.learnKey(key, work, c.classes[class].mean)
+	c.learnKey(key, work, c.classCosts[class].mean)
 }
 
 func (c *Costs) learnClass(class int, work float64) {
-	for len(c.classes) <= class {
-		c.classes = append(c.classes, guess{})
+	for len(c.classCosts) <= class {
+		c.classCosts = append(c.classCosts, costEstimate{})
 	}
-	c.classes[class].add(work)
+	c.classCosts[class].add(work)
 }
 
-// learnKey remembers a key that differs from mean, which is what would be expected otherwise.
+// learnKey remembers a key whose cost differs from mean, the cost expected without the key.
 func (c *Costs) learnKey(key uint64, work, mean float64) {
 	if key == 0 {
 		return
 	}
 	if c.keys == nil {
-		c.keys = make([]keyCell, keyCells)
+		c.keys = make([]keySlot, keySlots)
 	}
-	cell := &c.keys[key%keyCells]
-	if cell.key == key {
-		cell.cost += float32(estimateWeight*4) * (float32(work) - cell.cost)
+	slot := &c.keys[key%keySlots]
+	if slot.key == key {
+		slot.cost += float32(sampleWeight*4) * (float32(work) - slot.cost)
 	} else if work > 4*mean || work < mean/4 {
-		*cell = keyCell{key, float32(work)} // only what the class does not tell
+		*slot = keySlot{key, float32(work)} // only keys that the class mean does not predict
 	}
 }
 
-// estimate is what a request of the line's team will cost, in seconds.
-func (s *Scheduler) estimate(l *line, it *Item) float64 {
-	if cost, ok := s.costs.ofKey(it.Key); ok {
-		return max(cost, leastCost)
+// estimateCost returns the expected cost of a request of the queue's team, in seconds.
+func (s *Scheduler) estimateCost(q *teamQueue, it *Item) float64 {
+	if cost, ok := s.costs.costOfKey(it.Key); ok {
+		return max(cost, minCost)
 	}
-	if it.Class < len(l.classes) && l.classes[it.Class].seen {
-		return max(l.classes[it.Class].mean, leastCost)
+	if it.Class < len(q.classCosts) && q.classCosts[it.Class].sampled {
+		return max(q.classCosts[it.Class].mean, minCost)
 	}
-	if cost, ok := s.costs.of(it.Class, 0); ok {
-		return max(cost, leastCost)
+	if cost, ok := s.costs.costOf(it.Class, 0); ok {
+		return max(cost, minCost)
 	}
-	return firstEstimate
+	return initialEstimate
 }
 
-// learn takes in what a request has cost.
-func (s *Scheduler) learn(l *line, it *Item, work float64) {
+// recordCost records what a request has cost, in seconds.
+func (s *Scheduler) recordCost(q *teamQueue, it *Item, work float64) {
 	s.costs.learnClass(it.Class, work)
-	for len(l.classes) <= it.Class {
-		l.classes = append(l.classes, guess{})
+	for len(q.classCosts) <= it.Class {
+		q.classCosts = append(q.classCosts, costEstimate{})
 	}
-	l.classes[it.Class].add(work)
-	s.queues.sample(s.now, &l.classes[it.Class], work)
-	s.costs.learnKey(it.Key, work, l.classes[it.Class].mean)
+	q.classCosts[it.Class].add(work)
+	s.congestion.sample(s.now, &q.classCosts[it.Class], work)
+	s.costs.learnKey(it.Key, work, q.classCosts[it.Class].mean)
 }
 
-// CountsAgainstHost says whether a request that a host has answered with an error tells something of
-// that host. Where most of a team's requests fail, wherever they go, and next to none of
-// the others' do, it is the team's requests that are at fault: taken for the hosts', they
-// would cost everybody all hosts.
+// CountsAgainstHost reports whether an error answer to a request is evidence against the host. Where
+// most of a team's requests fail on any host and hardly any of the other teams' do, the team's
+// requests are at fault: counted against hosts, these errors would cost all teams all hosts.
 func (s *Scheduler) CountsAgainstHost(it *Item) bool {
-	l := it.line
-	return !(l.tried >= blameLeast && l.failed > blameOwn*l.tried && s.tried-l.tried >= blameLeast && s.failed-l.failed < blameOthers*(s.tried-l.tried))
+	q := it.queue
+	return !(q.answers >= minBlameAnswers && q.errors > blameOwnErrorRate*q.answers && s.answers-q.answers >= minBlameAnswers && s.errors-q.errors < blameOthersErrorRate*(s.answers-q.answers))
 }
 
-// RecordResult counts what a host has answered for Blame; counts fade, so that about the last
-// few hundred answers tell.
+// RecordResult counts an answer of a host for CountsAgainstHost. Counts are halved regularly, so that
+// the last one to two thousand answers dominate.
 func (s *Scheduler) RecordResult(it *Item, failed bool) {
-	l := it.line
-	l.tried++
-	s.tried++
+	q := it.queue
+	q.answers++
+	s.answers++
 	if failed {
-		l.failed++
-		s.failed++
+		q.errors++
+		s.errors++
 	}
-	if s.tried > blameFades {
-		s.tried, s.failed = s.tried/2, s.failed/2
-		for _, l := range s.lines {
-			l.tried, l.failed = l.tried/2, l.failed/2
+	if s.answers > blameDecayAfter {
+		s.answers, s.errors = s.answers/2, s.errors/2
+		for _, q := range s.queues {
+			q.answers, q.errors = q.answers/2, q.errors/2
 		}
 	}
 }
 
 const (
-	blameLeast  = 10  // answers before anything is said
-	blameOwn    = 0.5 // of a team's answers that are errors
-	blameOthers = 0.1 // of the others' answers
-	blameFades  = 2000
+	minBlameAnswers      = 10  // answers needed before errors are blamed on a team
+	blameOwnErrorRate    = 0.5 // error rate of the team's answers
+	blameOthersErrorRate = 0.1 // error rate of the other teams' answers
+	blameDecayAfter      = 2000
 )
 
 func seconds(d float64) time.Duration { return time.Duration(d * float64(time.Second)) }
--- a/internal/contract/heaps.go
+++ b/internal/contract/heaps.go
@@ -1,10 +1,10 @@
 package contract
 
-// Three small heaps whose items know their places, so that they can leave from anywhere
-// and nothing is allocated for them. container/heap would call through an interface for
-// each comparison, and box what is pushed.
+// The three small heaps below store in each item its index, so that items can be removed from any
+// position and the heaps allocate nothing per item. container/heap would call through an interface
+// for each comparison, and box what is pushed.
 
-// up and down restore a heap of n items after the one at i has changed.
+// up and down restore a heap of n items after the item at i has changed.
 func up(i int, less func(i, j int) bool, swap func(i, j int)) {
 	for i > 0 {
 		parent := (i - 1) / 2
@@ -33,44 +33,44 @@
 	}
 }
 
-// lineHeap holds lines, the lowest tag first.
-type lineHeap struct{ list []*line }
+// queueHeap holds team queues, the lowest start tag first.
+type queueHeap struct{ list []*teamQueue }
 
-func (h *lineHeap) less(i, j int) bool {
+func (h *queueHeap) less(i, j int) bool {
 	x, y := h.list[i], h.list[j]
-	return x.start < y.start || x.start == y.start && x.turn < y.turn
+	return x.startTag < y.startTag || x.startTag == y.startTag && x.tieBreak < y.tieBreak
 }
 
-func (h *lineHeap) swap(i, j int) {
+func (h *queueHeap) swap(i, j int) {
 	h.list[i], h.list[j] = h.list[j], h.list[i]
-	h.list[i].inReady, h.list[j].inReady = i, j
+	h.list[i].readyIndex, h.list[j].readyIndex = i, j
 }
 
-func (h *lineHeap) push(l *line) {
-	l.inReady = len(h.list)
-	h.list = append(h.list, l)
-	up(l.inReady, h.less, h.swap)
+func (h *queueHeap) push(q *teamQueue) {
+	q.readyIndex = len(h.list)
+	h.list = append(h.list, q)
+	up(q.readyIndex, h.less, h.swap)
 }
 
-func (h *lineHeap) fix(l *line) {
-	down(l.inReady, len(h.list), h.less, h.swap)
-	up(l.inReady, h.less, h.swap)
+func (h *queueHeap) fix(q *teamQueue) {
+	down(q.readyIndex, len(h.list), h.less, h.swap)
+	up(q.readyIndex, h.less, h.swap)
 }
 
-func (h *lineHeap) remove(l *line) {
-	i, last := l.inReady, len(h.list)-1
+func (h *queueHeap) remove(q *teamQueue) {
+	i, last := q.readyIndex, len(h.list)-1
 	if i != last {
 		h.swap(i, last)
 	}
 	h.list[last] = nil
 	h.list = h.list[:last]
-	l.inReady = -1
+	q.readyIndex = -1
 	if i != last {
 		h.fix(h.list[i])
 	}
 }
 
-// itemHeap holds a team's waiting requests: by priority, then by the latest time.
+// itemHeap holds a team's waiting requests: by priority, then by the latest time to send them.
 type itemHeap struct{ list []*Item }
 
 func (h *itemHeap) less(i, j int) bool {
@@ -78,25 +78,25 @@
 	switch {
 	case x.Priority != y.Priority:
 		return x.Priority > y.Priority
-	case x.latest != y.latest:
-		return x.latest < y.latest
+	case x.sendBy != y.sendBy:
+		return x.sendBy < y.sendBy
 	}
 	return x.seq < y.seq
 }
 
 func (h *itemHeap) swap(i, j int) {
 	h.list[i], h.list[j] = h.list[j], h.list[i]
-	h.list[i].inLine, h.list[j].inLine = i, j
+	h.list[i].queueIndex, h.list[j].queueIndex = i, j
 }
 
 func (h *itemHeap) push(it *Item) {
-	it.inLine = len(h.list)
+	it.queueIndex = len(h.list)
 	h.list = append(h.list, it)
-	up(it.inLine, h.less, h.swap)
+	up(it.queueIndex, h.less, h.swap)
 }
 
 func (h *itemHeap) remove(it *Item) {
-	i, last := it.inLine, len(h.list)-1
+	i, last := it.queueIndex, len(h.list)-1
 	if i != last {
 		h.swap(i, last)
 	}
@@ -108,24 +108,24 @@
 	}
 }
 
-// timeHeap holds all waiting requests, the one that is too late next first.
-type timeHeap struct{ list []*Item }
+// expiryHeap holds all waiting requests, the one that expires next first.
+type expiryHeap struct{ list []*Item }
 
-func (h *timeHeap) less(i, j int) bool { return h.list[i].latest < h.list[j].latest }
+func (h *expiryHeap) less(i, j int) bool { return h.list[i].sendBy < h.list[j].sendBy }
 
-func (h *timeHeap) swap(i, j int) {
+func (h *expiryHeap) swap(i, j int) {
 	h.list[i], h.list[j] = h.list[j], h.list[i]
-	h.list[i].inTime, h.list[j].inTime = i, j
+	h.list[i].expiryIndex, h.list[j].expiryIndex = i, j
 }
 
-func (h *timeHeap) push(it *Item) {
-	it.inTime = len(h.list)
+func (h *expiryHeap) push(it *Item) {
+	it.expiryIndex = len(h.list)
 	h.list = append(h.list, it)
-	up(it.inTime, h.less, h.swap)
+	up(it.expiryIndex, h.less, h.swap)
 }
 
-func (h *timeHeap) remove(it *Item) {
-	i, last := it.inTime, len(h.list)-1
+func (h *expiryHeap) remove(it *Item) {
+	i, last := it.expiryIndex, len(h.list)-1
 	if i != last {
 		h.swap(i, last)
 	}
--- a/internal/contract/limiter_test.go
+++ b/internal/contract/limiter_test.go
@@ -13,17 +13,17 @@
 	"pgregory.net/rapid"
 )
 
-// Whoever comes finds what it is guaranteed, unless more than there is is guaranteed; the
-// whole is never exceeded; what enters leaves.
-func TestDoorKeepsRoom(t *testing.T) {
+// A team finds the room that it is guaranteed, unless guarantees are oversold, and the limit over
+// all teams is never exceeded.
+func TestLimiterKeepsRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		most := int64(rapid.IntRange(10, 200).Draw(t, "most"))
-		d := NewLimiter(most, most*100)
+		maxOpen := int64(rapid.IntRange(10, 200).Draw(t, "most"))
+		l := NewLimiter(maxOpen, maxOpen*100)
 		greedy := terms("greedy", float64(rapid.IntRange(0, 50).Draw(t, "share"))/100)
 		quiet := terms("quiet", 0.2)
 		held := 0
 		for {
-			if _, v := d.Enter(greedy, 0, false, Time(time.Second)); v != nil {
+			if _, v := l.Enter(greedy, 0, false, Time(time.Second)); v != nil {
 				if v.Status != 429 || v.After <= 0 {
 					t.Fatalf("%+v", v)
 				}
@@ -31,76 +31,76 @@
 			}
 			held++
 		}
-		if int64(held) > most {
-			t.Fatalf("%d of %d are open", held, most)
+		if int64(held) > maxOpen {
+			t.Fatalf("%d of %d are open", held, maxOpen)
 		}
-		if least := int64(greedy.Share * float64(most)); int64(held) < least {
+		if least := int64(greedy.Share * float64(maxOpen)); int64(held) < least {
 			t.Fatalf("the greedy team got %d, and is guaranteed %d", held, least)
 		}
-		// Alone it finds more than its share, and leaves about a third for whoever comes.
-		if int64(held) > max(int64(greedy.Share*float64(most))+1, most*2/5+1) {
-			t.Fatalf("the greedy team holds %d of %d", held, most)
+		// Alone a team gets more than its share, and leaves about a third for other teams.
+		if int64(held) > max(int64(greedy.Share*float64(maxOpen))+1, maxOpen*2/5+1) {
+			t.Fatalf("the greedy team holds %d of %d", held, maxOpen)
 		}
 		got := int64(0)
-		for range int64(0.2 * float64(most)) {
-			if _, v := d.Enter(quiet, 0, false, Time(time.Second)); v != nil {
-				t.Fatalf("the quiet team got %d of its %v: %v", got, 0.2*float64(most), v)
+		for range int64(0.2 * float64(maxOpen)) {
+			if _, v := l.Enter(quiet, 0, false, Time(time.Second)); v != nil {
+				t.Fatalf("the quiet team got %d of its %v: %v", got, 0.2*float64(maxOpen), v)
 			}
 			got++
 		}
 	})
 }
 
-func TestDoorBoundsBodies(t *testing.T) {
-	d := NewLimiter(1000, 10_000)
+func TestLimiterBoundsBodies(t *testing.T) {
+	l := NewLimiter(1000, 10_000)
 	a, b := terms("a", 0.1), terms("b", 0.3)
 	n := 0
 	var accounts []*Account
 	for {
-		acc, v := d.Enter(a, 1000, false, 1)
+		account, v := l.Enter(a, 1000, false, 1)
 		if v != nil {
 			break
 		}
-		accounts = append(accounts, acc)
+		accounts = append(accounts, account)
 		n++
 	}
 	if n < 1 || n > 5 {
-		t.Errorf("a team with a tenth got in %d bodies of a tenth", n)
+		t.Errorf("a team with a share of a tenth had %d bodies of a tenth admitted", n)
 	}
-	if _, v := d.Enter(a, 0, false, 1); v != nil {
+	if _, v := l.Enter(a, 0, false, 1); v != nil {
 		t.Errorf("a request without a body: %v", v)
 	}
 	for range 3 {
-		if _, v := d.Enter(b, 1000, false, 1); v != nil {
+		if _, v := l.Enter(b, 1000, false, 1); v != nil {
 			t.Errorf("another team's: %v", v)
 		}
 	}
-	for _, acc := range accounts {
-		d.Leave(acc, 1000)
+	for _, account := range accounts {
+		l.Leave(account, 1000)
 	}
-	if open, _ := d.Open(); open != 4 {
+	if open, _ := l.Open(); open != 4 {
 		t.Errorf("%d are open", open)
 	}
 }
 
-// Repeats of clients and further attempts draw on one budget: a ratio of first requests,
-// and one a second. What is saved up is bounded.
+// Client retries and further attempts draw on one budget: a ratio of first requests, and one a
+// second. What may be saved up is bounded.
 func TestRetryBudget(t *testing.T) {
-	d := NewLimiter(1000, 1000)
-	tm := terms("a", 1)
-	tm.RetryRatio = 0.2
+	l := NewLimiter(1000, 1000)
+	team := terms("a", 1)
+	team.RetryRatio = 0.2
 	now := Time(time.Hour)
-	var acc *Account
+	var account *Account
 	enter := func(repeat bool) bool {
-		a, v := d.Enter(tm, 0, repeat, now)
+		a, v := l.Enter(team, 0, repeat, now)
 		if v != nil {
 			if v.Status != 429 || v.Cause != RetryBound || v.After <= 0 || v.After > time.Second {
 				t.Fatalf("%+v", v)
 			}
 			return false
 		}
-		acc = a
-		d.Leave(a, 0)
+		account = a
+		l.Leave(a, 0)
 		return true
 	}
 	for range 50 {
@@ -110,74 +110,74 @@
 	}
 	got := 0
 	for i := range 40 {
-		if i%2 == 0 && enter(true) || i%2 == 1 && d.AllowAttempt(acc, tm, now) {
+		if i%2 == 0 && enter(true) || i%2 == 1 && l.AllowAttempt(account, team, now) {
 			got++
 		}
 	}
-	if got != 11 { // 50 times 0.2, and the one to begin with
-		t.Errorf("%d repeats after 50 requests, want 11", got)
+	if got != 11 { // 50 times 0.2, and the initial one
+		t.Errorf("%d retries after 50 requests, want 11", got)
 	}
 	now += Time(3 * time.Second)
 	for got = 0; enter(true); got++ {
 	}
 	if got != 3 {
-		t.Errorf("%d repeats after three seconds, want 3", got)
+		t.Errorf("%d retries after three seconds, want 3", got)
 	}
 	now += Time(time.Hour)
 	for got = 0; enter(true); got++ {
 	}
-	if got > retriesKept {
-		t.Errorf("%d repeats were saved up", got)
+	if got > maxSavedRetries {
+		t.Errorf("%d retries were saved up", got)
 	}
-	now -= Time(time.Minute) // a step back gives nothing
+	now -= Time(time.Minute) // a clock that goes backward gives nothing
 	if enter(true) {
-		t.Error("a clock that stepped back gave a repeat")
+		t.Error("a clock that went backward gave a retry")
 	}
 }
 
-// Accounts of teams that ask no more are forgotten, and what comes back has gained no more
-// than waiting would have given it.
+// Accounts of teams that send no more requests are dropped, and a team that returns has gained no
+// more than waiting would have given it.
 func TestAccountsAreForgotten(t *testing.T) {
-	d := NewLimiter(1<<20, 1<<20)
+	l := NewLimiter(1<<20, 1<<20)
 	now := Time(time.Hour)
 	for i := range 10_000 {
-		a, v := d.Enter(terms(fmt.Sprint("t", i), 0), 0, false, now)
+		a, v := l.Enter(terms(fmt.Sprint("t", i), 0), 0, false, now)
 		if v != nil {
 			t.Fatal(v)
 		}
 		if i > 0 {
-			d.Leave(a, 0)
+			l.Leave(a, 0)
 		}
 	}
 	seen := 0
-	d.Accounts(now+forgetAfter/2, func(*Account) { seen++ })
-	d.Accounts(now+2*forgetAfter, nil)
-	if _, n := d.Open(); seen != 10_000 || n != 1 {
+	l.Accounts(now+accountIdleTimeout/2, func(*Account) { seen++ })
+	l.Accounts(now+2*accountIdleTimeout, nil)
+	if _, n := l.Open(); seen != 10_000 || n != 1 {
 		t.Errorf("%d were seen; %d accounts are kept, want the one with an open request", seen, n)
 	}
 }
 
-func TestDoorIsSafeForConcurrentUse(t *testing.T) {
-	d := NewLimiter(50, 1000)
+func TestLimiterIsSafeForConcurrentUse(t *testing.T) {
+	l := NewLimiter(50, 1000)
 	var all sync.WaitGroup
 	for w := range 8 {
-		tm := terms(fmt.Sprint("t", w%3), 0.3)
-		tm.RetryRatio = 1
+		team := terms(fmt.Sprint("t", w%3), 0.3)
+		team.RetryRatio = 1
 		all.Go(func() {
 			for i := range 500 {
-				if a, v := d.Enter(tm, 10, i%5 == 4, Time(i)); v == nil {
-					d.AllowAttempt(a, tm, Time(i))
-					d.Leave(a, 10)
+				if a, v := l.Enter(team, 10, i%5 == 4, Time(i)); v == nil {
+					l.AllowAttempt(a, team, Time(i))
+					l.Leave(a, 10)
 				}
 				if i%100 == 0 {
-					d.Accounts(Time(i), func(a *Account) { a.Asked.Load() })
+					l.Accounts(Time(i), func(a *Account) { a.Asked.Load() })
 				}
 			}
 		})
 	}
 	all.Wait()
-	if open, _ := d.Open(); open != 0 || d.bodies != 0 {
-		t.Errorf("%d open, %d bytes", open, d.bodies)
+	if open, _ := l.Open(); open != 0 || l.bodies != 0 {
+		t.Errorf("%d open, %d bytes", open, l.bodies)
 	}
 }
 
@@ -215,14 +215,14 @@
 
 func TestCheck(t *testing.T) {
 	from := time.Date(2027, 1, 1, 0, 0, 0, 0, time.UTC)
-	tm := &Terms{Team: "bins", File: "bins.toml", Line: 1, Classes: map[string]ClassTerms{"lookup": {}}, LongestDeadline: time.Second,
+	team := &Terms{Team: "bins", File: "bins.toml", Line: 1, Classes: map[string]ClassTerms{"lookup": {}}, LongestDeadline: time.Second,
 		LargestBody: 100, Repeats: [3]bool{frostshift.Safe: true}, From: from, Until: from.AddDate(1, 0, 0),
 		Lines: map[string]int{"class": 9, "longest_deadline": 4, "valid_until": 3}}
 	good := Time(from.AddDate(0, 6, 0).UnixNano())
 	for _, c := range []struct {
 		ask  RequestInfo
 		now  Time
-		want string // where; "": it is within the contract
+		want string // position in the file; "": within the contract
 	}{
 		{RequestInfo{Class: "lookup"}, good, ""},
 		{RequestInfo{Class: "lookup", Deadline: time.Second, Body: 100, Repeat: true}, good, ""},
@@ -234,14 +234,14 @@
 		{RequestInfo{Class: "lookup"}, Time(from.UnixNano()), ""},
 		{RequestInfo{Class: "lookup"}, Time(from.AddDate(1, 0, 0).UnixNano()), "bins.toml:3"},
 	} {
-		v := tm.Check(&c.ask, c.now)
+		v := team.Check(&c.ask, c.now)
 		if c.want == "" && v != nil || c.want != "" && (v == nil || v.Status != 403 || v.At != c.want || v.Team != "bins") {
 			t.Errorf("%+v: %+v, want %q", c.ask, v, c.want)
 		}
 	}
 }
 
-func TestBookSaysWhatIsWrong(t *testing.T) {
+func TestRegistryReportsProblems(t *testing.T) {
 	ok := func() *Terms { x := terms("x", 0.1); x.Account = "x"; return x }
 	for name, c := range map[string]struct {
 		change  func(*Terms)
--- a/internal/contract/registry.go
+++ b/internal/contract/registry.go
@@ -11,22 +11,21 @@
 	"github.com/gaissmai/bart"
 )
 
-// Registry is the contracts of all teams. It does not change, and any number of goroutines
-// may use it.
+// Registry holds the contracts of all teams. It is immutable and safe for concurrent use.
 type Registry struct {
-	terms    []*Terms
-	byTeam   map[string]*Terms
-	tokens   map[[8]byte][]tokenOf // by the digest's first bytes
-	accounts map[string]*Terms
-	ranges   bart.Table[*Terms] // the narrowest that holds an address counts
+	terms     []*Terms
+	byTeam    map[string]*Terms
+	tokens    map[[8]byte][]tokenEntry // by the first bytes of the digest
+	accounts  map[string]*Terms
+	addresses bart.Table[*Terms] // the longest matching prefix counts
 }
 
-type tokenOf struct {
+type tokenEntry struct {
 	digest Digest
 	terms  *Terms
 }
 
-// Problem is something wrong with a contract beside others.
+// Problem is an error or a warning about a contract, alone or against the others.
 type Problem struct {
 	Terms   *Terms
 	Key     string
@@ -34,17 +33,17 @@
 	Warning bool
 }
 
-// NewRegistry checks contracts against one another and binds them to a registry, which is nil if
-// any problem is not a warning.
+// NewRegistry checks contracts, also against one another, and returns a registry of them. The
+// registry is nil if any problem is not a warning.
 func NewRegistry(list []*Terms) (*Registry, []Problem) {
-	b := &Registry{terms: list, byTeam: map[string]*Terms{}, tokens: map[[8]byte][]tokenOf{}, accounts: map[string]*Terms{}}
+	r := &Registry{terms: list, byTeam: map[string]*Terms{}, tokens: map[[8]byte][]tokenEntry{}, accounts: map[string]*Terms{}}
 	var bad problems
 	shares := 0.0
 	for i, t := range list {
-		t.place = i
-		b.bindTeam(t, &bad)
-		b.bindCallers(t, &bad)
-		t.checkFigures(&bad)
+		t.index = i
+		r.addTeam(t, &bad)
+		r.addCallers(t, &bad)
+		t.checkBounds(&bad)
 		shares += t.Share
 	}
 	if len(bad) > 0 {
@@ -54,7 +53,7 @@
 		bad = append(bad, Problem{Terms: list[len(list)-1], Key: "share", Warning: true,
 			Text: fmt.Sprintf("the shares of all teams add up to %.3g: where all want theirs at once each gets 1/%.3g of it", shares, shares)})
 	}
-	return b, bad
+	return r, bad
 }
 
 type problems []Problem
@@ -63,14 +62,14 @@
 	*p = append(*p, Problem{Terms: t, Key: key, Text: fmt.Sprintf(format, args...)})
 }
 
-// bindTeam enters a contract under its team, which has no other one.
-func (b *Registry) bindTeam(t *Terms, bad *problems) {
-	if other := b.byTeam[t.Team]; t.Team == "" {
+// addTeam registers a contract under its team, which must have no other contract.
+func (r *Registry) addTeam(t *Terms, bad *problems) {
+	if other := r.byTeam[t.Team]; t.Team == "" {
 		bad.add(t, "team", "a contract needs a team")
 	} else if other != nil {
-		bad.add(t, "team", "team %s has another contract at %s", t.Team, other.at("team"))
+		bad.add(t, "team", "team %s has another contract at %s", t.Team, other.position("team"))
 	}
-	b.byTeam[t.Team] = t
+	r.byTeam[t.Team] = t
 	if len(t.Classes) == 0 {
 		bad.add(t, "class", "a contract names the classes that may be called")
 	}
@@ -79,31 +78,31 @@
 	}
 }
 
-// bindCallers enters what tells that a request is the team's: it may tell of no other team.
-func (b *Registry) bindCallers(t *Terms, bad *problems) {
+// addCallers registers the credentials that identify the team; none may belong to another team.
+func (r *Registry) addCallers(t *Terms, bad *problems) {
 	for _, d := range t.Tokens {
-		if other := b.token(d); other != nil {
+		if other := r.token(d); other != nil {
 			bad.add(t, "tokens", "a token names team %s too", other.Team)
 		}
 		key := [8]byte(d[:8])
-		b.tokens[key] = append(b.tokens[key], tokenOf{d, t})
+		r.tokens[key] = append(r.tokens[key], tokenEntry{d, t})
 	}
 	for _, p := range t.Addresses {
-		if other, there := b.ranges.Get(p.Masked()); there && other != t {
+		if other, exists := r.addresses.Get(p.Masked()); exists && other != t {
 			bad.add(t, "addresses", "%v names team %s too", p.Masked(), other.Team)
 		}
-		b.ranges.Insert(p.Masked(), t)
+		r.addresses.Insert(p.Masked(), t)
 	}
 	if t.Account != "" {
-		if other := b.accounts[t.Account]; other != nil {
+		if other := r.accounts[t.Account]; other != nil {
 			bad.add(t, "account", "account %s names team %s too", t.Account, other.Team)
 		}
-		b.accounts[t.Account] = t
+		r.accounts[t.Account] = t
 	}
 }
 
-// checkFigures holds a contract's figures against their bounds and one another.
-func (t *Terms) checkFigures(bad *problems) {
+// checkBounds checks a contract's values against their bounds and one another.
+func (t *Terms) checkBounds(bad *problems) {
 	for _, f := range []struct {
 		key       string
 		v, lo, hi float64
@@ -120,17 +119,18 @@
 	}
 }
 
-// Terms are all contracts, in the order in which they were given.
-func (b *Registry) Terms() []*Terms { return b.terms }
+// Terms returns all contracts, in the order in which they were given.
+func (r *Registry) Terms() []*Terms { return r.terms }
 
-// Team finds a contract by its team; nil: there is none.
-func (b *Registry) Team(name string) *Terms { return b.byTeam[name] }
+// Team returns the contract of a team, or nil if there is none.
+func (r *Registry) Team(name string) *Terms { return r.byTeam[name] }
 
-// token finds whose token has a digest. Digests are found by a part of them: what time
-// that takes tells of a digest, never of a token. The rest is compared in constant time.
-func (b *Registry) token(d Digest) *Terms {
+// token returns the contract whose token has a digest, or nil. The lookup uses the first bytes of
+// the digest, so its timing reveals something of a digest but never of a token. The rest is compared
+// in constant time.
+func (r *Registry) token(d Digest) *Terms {
 	var found *Terms
-	for _, t := range b.tokens[[8]byte(d[:8])] {
+	for _, t := range r.tokens[[8]byte(d[:8])] {
 		if subtle.ConstantTimeCompare(t.digest[:], d[:]) == 1 {
 			found = t.terms
 		}
@@ -138,50 +138,50 @@
 	return found
 }
 
-// Caller is what a client says and shows of itself.
+// Caller is the identity that a client presents.
 type Caller struct {
-	Authorization string // the header, or ""
-	Account       string // X-Account, or ""
+	Authorization string // the header; empty: none
+	Account       string // the X-Account header; empty: none
 	Address       netip.Addr
 }
 
-// Identify says whose request it is, or that nobody knows: 401, at no team's cost. A
-// token counts before an account, an account before the address; one that is shown and
-// is wrong is not made good by another.
-func (b *Registry) Identify(c *Caller) (*Terms, *Violation) {
+// Identify returns the contract of the team that sent a request, or a violation with status 401 if
+// the team is unknown; that is charged to no team. A token takes precedence over an account, and an
+// account over the address. Credentials that are presented but wrong are not made good by others.
+func (r *Registry) Identify(c *Caller) (*Terms, *Violation) {
 	unknown := func(title, detail string) *Violation {
 		return &Violation{Status: 401, Title: title, Detail: detail}
 	}
-	if c.Authorization != "" && len(b.tokens) > 0 {
+	if c.Authorization != "" && len(r.tokens) > 0 {
 		scheme, token, _ := strings.Cut(c.Authorization, " ")
 		if !strings.EqualFold(scheme, "Bearer") || token == "" || len(token) > 4096 {
 			return nil, unknown("no team named", "the Authorization header is no bearer token")
 		}
-		if t := b.token(sha256.Sum256([]byte(strings.TrimSpace(token)))); t != nil {
+		if t := r.token(sha256.Sum256([]byte(strings.TrimSpace(token)))); t != nil {
 			return t, nil
 		}
 		return nil, unknown("unknown token", "the bearer token names no team")
 	}
-	if c.Account != "" && len(b.accounts) > 0 {
-		if t := b.accounts[c.Account]; t != nil {
+	if c.Account != "" && len(r.accounts) > 0 {
+		if t := r.accounts[c.Account]; t != nil {
 			return t, nil
 		}
 		return nil, unknown("unknown account", "the account names no team")
 	}
 	if c.Address.IsValid() {
-		if t, ok := b.ranges.Lookup(c.Address.Unmap()); ok {
+		if t, ok := r.addresses.Lookup(c.Address.Unmap()); ok {
 			return t, nil
 		}
 	}
 	return nil, unknown("no team named", "nothing in the request names a team")
 }
 
-// TotalGuarantee says how the guarantees of all teams fit a pool of so many attempts at once: the
-// part of it that is guaranteed. Above 1 it is oversold.
-func (b *Registry) TotalGuarantee(capacity float64) (sum float64) {
-	for _, t := range b.terms {
+// TotalGuarantee returns the sum of all teams' guarantees as a fraction of a pool that takes
+// capacity attempts at once. A sum above 1 means that the pool is oversold.
+func (r *Registry) TotalGuarantee(capacity float64) (sum float64) {
+	for _, t := range r.terms {
 		w := t.weight(capacity, 1)
-		if w > leastWeight {
+		if w > minWeight {
 			sum += w
 		}
 	}
@@ -191,9 +191,10 @@
 	return sum
 }
 
-// Guarantee is a team's part of a pool of so many attempts at once.
+// Guarantee returns the team's guaranteed fraction of a pool that takes capacity attempts at once,
+// or 0 if it has no guarantee.
 func (t *Terms) Guarantee(capacity float64) float64 {
-	if w := t.weight(capacity, 1); w > leastWeight {
+	if w := t.weight(capacity, 1); w > minWeight {
 		return w
 	}
 	return 0
--- a/internal/contract/rights_test.go
+++ b/internal/contract/rights_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// half is a right to half of what a contract states, that counts what was asked for.
-type half struct{ asked float64 }
+// halfShare is a share of one half of any limit; it records the reported demand.
+type halfShare struct{ asked float64 }
 
-func (h *half) Part(Time) float64 { return 0.5 }
-func (h *half) Ask(units float64) { h.asked += units }
+func (h *halfShare) Part(Time) float64 { return 0.5 }
+func (h *halfShare) Ask(units float64) { h.asked += units }
 
-// A team whose right stands for more attempts than the pool holds here has them all the same, as
-// many as its right and no more; a team without one does not. What it wants is told in work, also
-// while hosts' queues make it take four times as long, and then its right stands for as many more.
+// A team whose share of its limits allows more attempts than the pool gives here gets exactly that
+// many; a team without such a share does not. Its demand is reported in work, also while queues at
+// hosts make requests take four times as long; its share then allows four times as many attempts.
 func TestRightsGoBeyondThePool(t *testing.T) {
 	s := NewScheduler(1)
-	right := &half{}
+	limitShare := &halfShare{}
 	s.SetLimitShares(func(t *Terms) LimitShare {
 		if t.Team == "team" {
-			return right
+			return limitShare
 		}
 		return nil
 	})
-	team, flood := &Terms{Team: "team", Rate: 8}, &Terms{Team: "flood", place: 1}
+	team, flood := &Terms{Team: "team", Rate: 8}, &Terms{Team: "flood", index: 1}
 	now := Time(time.Hour)
 	s.SetCapacity(now, 1)
 	item := func(t *Terms) *Item { return &Item{Terms: t, Deadline: now + Time(10*time.Second)} }
@@ -36,10 +36,10 @@
 		}
 		return turn
 	}
-	// Calm: a hundred requests of 10 ms one after another.
+	// Without queueing: 100 requests of 10 ms one after another.
 	for range 100 {
 		if arrive(team) != Go {
-			t.Fatal("a request waits while nothing is out")
+			t.Fatal("a request waits while nothing is in flight")
 		}
 		now += Time(10 * time.Millisecond)
 		s.Done(now, out[0], 10*time.Millisecond, false)
@@ -52,9 +52,9 @@
 		arrive(team)
 	}
 	if got := len(out) - held; got != 4 {
-		t.Errorf("%d attempts beyond the pool's, the right stands for 4", got)
+		t.Errorf("%d attempts beyond the pool's capacity, the share allows 4", got)
 	}
-	// Its requests end after 40 ms, most of it waiting.
+	// Its requests now end after 40 ms, most of it waiting at hosts.
 	for range 200 {
 		now += Time(40 * time.Millisecond)
 		it := out[len(out)-1]
@@ -65,10 +65,10 @@
 			out = append(out, next)
 		}
 	}
-	before := right.asked
+	before := limitShare.asked
 	arrive(team)
-	if got := right.asked - before; got < 0.008 || got > 0.017 {
-		t.Errorf("a request of 10 ms of work is told as %.4f s", got)
+	if got := limitShare.asked - before; got < 0.008 || got > 0.017 {
+		t.Errorf("a request of 10 ms of work is reported as %.4f s", got)
 	}
 	own := 0
 	for _, it := range out {
@@ -77,6 +77,6 @@
 		}
 	}
 	if own < 10 || own > 16 {
-		t.Errorf("%d attempts out while each takes four times as long, the right stands for 4 times 4 at most", own)
+		t.Errorf("%d attempts in flight while each takes four times as long, the share allows 4 times 4 at most", own)
 	}
 }
--- a/internal/contract/scheduler.go
+++ b/internal/contract/scheduler.go
@@ -5,318 +5,319 @@
 	"time"
 )
 
-// Item is one request in a Scheduler. The caller fills in the first fields and keeps the
-// item until the request has ended; the rest is the scheduler's.
+// Item is one request in a Scheduler. The caller sets the exported fields and keeps the item until
+// the request has ended; the other fields belong to the scheduler.
 type Item struct {
 	Terms    *Terms
 	Account  *Account
 	Class    int
 	Priority int    // within the team, see ClassTerms
-	Key      uint64 // of what it is about; 0: none
-	Deadline Time   // the client has its answer by then
-	Aim      Time   // an answer after it is worth little; 0: the deadline
-	Owner    any    // for the caller
+	Key      uint64 // key of the requested object; 0 means none
+	Deadline Time   // time by which the client needs its answer
+	Aim      Time   // time after which an answer is worth little; 0 means the deadline
+	Owner    any    // for use by the caller
 
-	line   *line
-	cost   float64 // seconds, estimated
-	latest Time    // to be sent by
-	seq    uint64
-	state  itemState
-	inLine int // place in its line's heap
-	inTime int // place in the heap of latest times
-	lent   bool
-	parked bool // it waits for its client
+	queue         *teamQueue
+	cost          float64 // seconds, estimated
+	sendBy        Time    // latest time to send it
+	seq           uint64
+	state         itemState
+	queueIndex    int // index in its team's heap of waiting requests
+	expiryIndex   int // index in the expiry heap
+	overGuarantee bool
+	parked        bool // in flight, but waits for its client
 }
 
 type itemState uint8
 
 const (
 	itemNew itemState = iota
-	itemWaits
-	itemOut
+	itemWaiting
+	itemInFlight
 	itemEnded
 )
 
-// Turn is what becomes of a request on its arrival.
+// Turn is the scheduler's decision on a request that arrives.
 type Turn uint8
 
-// Turns.
+// Decisions on arrival.
 const (
 	Go     Turn = iota // send it now
-	Wait               // Next or Expired will name it
+	Wait               // Next or Expired will return it
 	Refuse             // it could not be answered in time
 )
 
-// Scheduler shares one pool's capacity out among teams by start-time fair queueing
+// Scheduler shares one pool's capacity among teams by start-time fair queueing
 // (Goyal, Vin and Cheng 1996) over work. A team's tags advance by what its requests cost,
 // divided by its guarantee; the lowest tag goes next. So each team that has requests
 // waiting gets at least its guarantee, whatever the others do, and what some do not use
-// goes to the others in proportion. A team that was idle starts at the present time less
-// its burst: it has nothing saved up beyond that.
+// goes to the others in proportion. A team that was idle starts at the present virtual time less
+// its burst, and has nothing saved up beyond that.
 //
-// A Scheduler is not safe for concurrent use; it lives in its pool's loop.
+// A Scheduler is not safe for concurrent use; it belongs to its pool's event loop.
 type Scheduler struct {
-	now      Time
-	capacity float64 // attempts that are given to the pool at once
-	learnt   float64 // ... that it may have out, as its balancer learns it
-	queues   queueing
-	part     float64 // this gateway's part of what contracts state for all
-	rights   func(*Terms) LimitShare
-	v        float64 // virtual time, in seconds of a guarantee
-	out      int
-	seq      uint64
-	lines    map[string]*line
-	placed   []*line  // the same, by place in the registry
-	ready    lineHeap // lines with requests that wait and may go
-	held     []*line  // lines with requests that wait, at their ceiling
-	owing    []*line  // lines with requests that wait, which may be owed an attempt
-	waiting  timeHeap // all requests that wait, by the latest time to send them
-	weights  float64  // of the lines that have requests waiting
-	costs    Costs
-	tried    float64 // answers of late, of all teams
-	failed   float64
-	sweep    int
-	names    []string // of lines, in turn of being looked at for forgetting
+	now             Time
+	capacity        float64 // attempts that the pool may have in flight, after congestion control
+	learnedCapacity float64 // the same before congestion control, as learned by its balancer
+	congestion      congestion
+	share           float64 // this gateway's share of absolute limits
+	limitShares     func(*Terms) LimitShare
+	virtualTime     float64 // in seconds of a guarantee
+	inFlight        int
+	seq             uint64
+	queues          map[string]*teamQueue
+	queuesByIndex   []*teamQueue // the same queues, by index of the contract in the registry
+	ready           queueHeap    // queues with waiting requests that may be sent
+	blocked         []*teamQueue // queues with waiting requests, at their ceiling
+	owedCandidates  []*teamQueue // queues with waiting requests that may be owed an attempt
+	waiting         expiryHeap   // all waiting requests, by the latest time to send them
+	waitingWeight   float64      // sum of the weights of queues with waiting requests
+	costs           Costs
+	answers         float64 // recent answers, over all teams
+	errors          float64
+	sweepIndex      int
+	teamNames       []string // of queues, in the order of the idle check
 }
 
-// line is one team in a scheduler.
-type line struct {
-	team    string
-	terms   *Terms
-	right   LimitShare // nil: its part of absolute figures is everybody's
-	weight  float64
-	finish  float64 // tag of its last request's end
-	start   float64 // tag of the request that is next, while some wait
-	turn    uint64  // of its first request; settles tags that are level
-	items   itemHeap
-	waits   float64 // seconds of work that wait
-	out     int
-	classes []guess
-	tried   float64 // answers of late
-	failed  float64 // of them, errors
-	inReady int     // place in the heap of lines; -1: not there
-	inOwing bool
-	isHeld  bool
-	parked  int // requests that wait for their clients: they are none of out
-	touched Time
+// teamQueue is the state of one team in a scheduler, with its waiting requests.
+type teamQueue struct {
+	team            string
+	terms           *Terms
+	limitShare      LimitShare // nil: Scheduler.share applies
+	weight          float64
+	finishTag       float64 // end tag of its last request
+	startTag        float64 // tag of the next request, while some wait
+	tieBreak        uint64  // seq of its first request when made ready; breaks ties of tags
+	items           itemHeap
+	waitingWork     float64 // seconds of estimated work waiting
+	inFlight        int
+	classCosts      []costEstimate
+	answers         float64 // recent answers
+	errors          float64 // error answers among them
+	readyIndex      int     // index in the ready heap; -1 means not in it
+	isOwedCandidate bool
+	isBlocked       bool
+	parked          int // requests that wait for their clients, not counted in inFlight
+	lastUsed        Time
 }
 
-// headroom is how much more than its capacity a pool is given: its balancer learns that
-// hosts can take more only while something waits there.
+// headroom is the fraction of its capacity that a pool is given in addition: its balancer learns that
+// hosts can take more only while requests wait there.
 const headroom = 0.125
 
-// mostDebt bounds how long a team pays for what cost more than was thought, in seconds of
+// maxDebt limits how long a team pays for requests that cost more than estimated, in seconds of
 // its guarantee.
-const mostDebt = 30
+const maxDebt = 30
 
-// NewScheduler returns a scheduler for a pool. part is this gateway's part of the figures
-// that contracts state for all gateways together, from 0 to 1; see FleetShare.
-func NewScheduler(part float64) *Scheduler {
-	return &Scheduler{capacity: 1, part: part, lines: map[string]*line{}}
+// NewScheduler returns a scheduler for a pool. share is this gateway's share of the limits that
+// contracts state for all gateways together, from 0 to 1; see FleetShare.
+func NewScheduler(share float64) *Scheduler {
+	return &Scheduler{capacity: 1, share: share, queues: map[string]*teamQueue{}}
 }
 
-// SetShare changes this gateway's part.
-func (s *Scheduler) SetShare(part float64) { s.part = part }
+// SetShare sets this gateway's share of absolute limits.
+func (s *Scheduler) SetShare(share float64) { s.share = share }
 
-// SetLimitShares has teams' parts of their absolute figures follow what comes here, where f has a right
-// for a team; nil: all go by SetPart.
-func (s *Scheduler) SetLimitShares(f func(*Terms) LimitShare) { s.rights = f }
+// SetLimitShares sets where teams get their shares of their absolute limits. Teams for which f
+// returns nil use the share of SetShare, as all teams do if f is nil.
+func (s *Scheduler) SetLimitShares(f func(*Terms) LimitShare) { s.limitShares = f }
 
-// SetCapacity says how many attempts the pool may have out. A team's weight follows with
+// SetCapacity sets how many attempts the pool may have in flight. A team's weight is updated with
 // its next request.
 func (s *Scheduler) SetCapacity(now Time, capacity float64) {
-	s.tick(now)
-	s.learnt = max(capacity, 1)
+	s.advanceClock(now)
+	s.learnedCapacity = max(capacity, 1)
 	old := s.capacity
-	s.capacity = max(1, s.learnt*s.queues.part(s.now))
+	s.capacity = max(1, s.learnedCapacity*s.congestion.usableShare(s.now))
 	if s.capacity > old {
-		s.release()
+		s.unblock()
 	}
 }
 
-func (s *Scheduler) tick(now Time) { s.now = max(s.now, now) }
+func (s *Scheduler) advanceClock(now Time) { s.now = max(s.now, now) }
 
-// room says whether the pool takes another request.
-func (s *Scheduler) room() bool {
-	return float64(s.out) < s.capacity+max(1, s.capacity*headroom)
+// hasRoom reports whether the pool takes another request.
+func (s *Scheduler) hasRoom() bool {
+	return float64(s.inFlight) < s.capacity+max(1, s.capacity*headroom)
 }
 
-// atCeiling says whether a team has as much out as it may: its part of the capacity, in
-// whole attempts, of which a part counts as one.
-func (s *Scheduler) atCeiling(l *line) bool {
-	c := l.terms.ceiling()
-	return c < 1 && float64(l.out) >= math.Ceil(c*s.capacity-1e-9)
+// atCeiling reports whether a team has as many attempts in flight as its ceiling allows, rounded up
+// to whole attempts.
+func (s *Scheduler) atCeiling(q *teamQueue) bool {
+	c := q.terms.ceiling()
+	return c < 1 && float64(q.inFlight) >= math.Ceil(c*s.capacity-1e-9)
 }
 
-// Arrive takes a request in. With Refuse it says when to come back.
+// Arrive decides on a new request. With Refuse it also returns the time after which to retry.
 func (s *Scheduler) Arrive(now Time, it *Item) (Turn, time.Duration) {
-	s.tick(now)
-	l := s.line(it.Terms)
-	it.line = l
-	s.weigh(l)
-	it.cost = s.estimate(l, it)
-	if l.right != nil {
-		l.right.Ask(it.cost * l.calmPart(it.Class))
+	s.advanceClock(now)
+	q := s.queueFor(it.Terms)
+	it.queue = q
+	s.updateWeight(q)
+	it.cost = s.estimateCost(q, it)
+	if q.limitShare != nil {
+		q.limitShare.Ask(it.cost * q.workFraction(it.Class))
 	}
-	it.latest = it.Deadline
+	it.sendBy = it.Deadline
 	if it.Aim > 0 {
-		it.latest = min(it.latest, it.Aim)
+		it.sendBy = min(it.sendBy, it.Aim)
 	}
-	it.latest -= seconds(it.cost * costMargin)
+	it.sendBy -= seconds(it.cost * costMargin)
 	s.seq++
 	it.seq = s.seq
-	if it.latest < s.now && (l.out > 0 || it.Deadline < s.now) {
-		// An estimate alone must not shut a team out: while it has nothing at the hosts, one
-		// request goes and tells what such requests cost now.
+	if it.sendBy < s.now && (q.inFlight > 0 || it.Deadline < s.now) {
+		// An estimate alone must not lock a team out: while the team has nothing in flight, one
+		// request is sent and shows what such requests cost now.
 		it.state = itemEnded
-		return Refuse, s.backIn(l)
+		return Refuse, s.retryAfter(q)
 	}
-	it.latest = max(it.latest, s.now)
-	if len(l.items.list) == 0 && (s.room() && !s.atCeiling(l) && len(s.ready.list) == 0 || s.owed(l)) {
-		s.begin(l)
-		s.dispatch(l, it)
+	it.sendBy = max(it.sendBy, s.now)
+	if len(q.items.list) == 0 && (s.hasRoom() && !s.atCeiling(q) && len(s.ready.list) == 0 || s.owed(q)) {
+		s.setStartTag(q)
+		s.dispatch(q, it)
 		return Go, 0
 	}
-	// What waits ahead of it goes at the team's present share, or its place is hopeless.
-	if wait := s.wait(l); s.now+seconds(wait) > it.latest {
+	// Requests ahead of it are sent at the team's present share; refuse it if that takes too long.
+	if expectedWait := s.expectedWait(q); s.now+seconds(expectedWait) > it.sendBy {
 		it.state = itemEnded
-		return Refuse, min(seconds(wait), mostAfter)
+		return Refuse, min(seconds(expectedWait), maxRetryAfter)
 	}
-	it.state = itemWaits
-	if len(l.items.list) == 0 {
-		s.begin(l)
-		s.weights += l.weight
-		l.items.push(it)
-		s.enter(l)
+	it.state = itemWaiting
+	if len(q.items.list) == 0 {
+		s.setStartTag(q)
+		s.waitingWeight += q.weight
+		q.items.push(it)
+		s.makeReady(q)
 	} else {
-		l.items.push(it)
+		q.items.push(it)
 	}
-	l.waits += it.cost
+	q.waitingWork += it.cost
 	s.waiting.push(it)
-	s.mayOwe(l)
+	s.addOwedCandidate(q)
 	return Wait, 0
 }
 
 const (
 	// costMargin is how many times its estimated cost a request must have left when it is
-	// sent: one that is cut short at a host has cost the host as much, for nothing.
-	costMargin = 2
-	mostAfter  = 10 * time.Second
-	leastAfter = 50 * time.Millisecond
+	// sent: one that times out at a host has cost the host as much, for nothing.
+	costMargin    = 2
+	maxRetryAfter = 10 * time.Second
+	minRetryAfter = 50 * time.Millisecond
 )
 
-// wait is how long what a team has waiting will take at its present share of the pool.
-func (s *Scheduler) wait(l *line) float64 {
-	all := s.weights
-	if len(l.items.list) == 0 {
-		all += l.weight
+// expectedWait returns the seconds that the team's waiting requests take at its present share of the pool.
+func (s *Scheduler) expectedWait(q *teamQueue) float64 {
+	all := s.waitingWeight
+	if len(q.items.list) == 0 {
+		all += q.weight
 	}
-	rate := s.capacity * l.weight / max(all, l.weight)
-	if l.right != nil {
-		rate = max(rate, s.attempts(l))
+	rate := s.capacity * q.weight / max(all, q.weight)
+	if q.limitShare != nil {
+		rate = max(rate, s.owedAttempts(q))
 	}
-	rate = min(rate, l.terms.ceiling()*s.capacity)
-	return l.waits / max(rate, 1e-3)
+	rate = min(rate, q.terms.ceiling()*s.capacity)
+	return q.waitingWork / max(rate, 1e-3)
 }
 
-// backIn is when a team's waiting requests will have gone.
-func (s *Scheduler) backIn(l *line) time.Duration {
-	return min(max(seconds(s.wait(l)), leastAfter), mostAfter)
+// retryAfter returns the expected time until a team's waiting requests have been sent.
+func (s *Scheduler) retryAfter(q *teamQueue) time.Duration {
+	return min(max(seconds(s.expectedWait(q)), minRetryAfter), maxRetryAfter)
 }
 
-// weigh gives a line its weight, as its contract and the capacity are now.
-func (s *Scheduler) weigh(l *line) {
-	part := s.part
-	if l.right != nil {
-		part = l.right.Part(s.now)
+// updateWeight recomputes a queue's weight from its contract and the present capacity.
+func (s *Scheduler) updateWeight(q *teamQueue) {
+	share := s.share
+	if q.limitShare != nil {
+		share = q.limitShare.Part(s.now)
 	}
-	w := l.terms.weight(s.capacity, part)
-	if len(l.items.list) > 0 {
-		s.weights += w - l.weight
+	w := q.terms.weight(s.capacity, share)
+	if len(q.items.list) > 0 {
+		s.waitingWeight += w - q.weight
 	}
-	l.weight = w
+	q.weight = w
 }
 
-// begin gives a line that had nothing waiting its tag.
-func (s *Scheduler) begin(l *line) {
-	l.start = max(s.v-l.terms.Burst.Seconds(), l.finish)
+// setStartTag sets the start tag of a queue that had nothing waiting.
+func (s *Scheduler) setStartTag(q *teamQueue) {
+	q.startTag = max(s.virtualTime-q.terms.Burst.Seconds(), q.finishTag)
 }
 
-// enter puts a line with waiting requests where Next finds it, or aside.
-func (s *Scheduler) enter(l *line) {
-	if s.atCeiling(l) {
-		if !l.isHeld {
-			l.isHeld = true
-			s.held = append(s.held, l)
+// makeReady adds a queue with waiting requests to the ready heap, or to the blocked ones if it is at
+// its ceiling.
+func (s *Scheduler) makeReady(q *teamQueue) {
+	if s.atCeiling(q) {
+		if !q.isBlocked {
+			q.isBlocked = true
+			s.blocked = append(s.blocked, q)
 		}
 		return
 	}
-	s.queue(l)
+	s.pushReady(q)
 }
 
-// queue puts a line where Next finds it.
-func (s *Scheduler) queue(l *line) {
-	if l.inReady < 0 {
-		l.turn = l.items.list[0].seq
-		s.ready.push(l)
+// pushReady adds a queue to the ready heap, unless it is in it.
+func (s *Scheduler) pushReady(q *teamQueue) {
+	if q.readyIndex < 0 {
+		q.tieBreak = q.items.list[0].seq
+		s.ready.push(q)
 	}
 }
 
-// line finds or makes a team's line. One that was forgotten had nothing saved up that a
-// new one has not, and owed nothing.
-func (s *Scheduler) line(t *Terms) *line {
-	if t.place < len(s.placed) {
-		if l := s.placed[t.place]; l != nil && l.terms == t {
-			l.touched = s.now
-			return l
+// queueFor returns a team's queue and creates it if needed. A dropped queue had nothing saved up that
+// a new one lacks, and owed nothing.
+func (s *Scheduler) queueFor(t *Terms) *teamQueue {
+	if t.index < len(s.queuesByIndex) {
+		if q := s.queuesByIndex[t.index]; q != nil && q.terms == t {
+			q.lastUsed = s.now
+			return q
 		}
 	}
-	l := s.lines[t.Team]
-	if l == nil {
-		l = &line{team: t.Team, inReady: -1, finish: math.Inf(-1)}
-		s.lines[t.Team] = l
-		s.names = append(s.names, t.Team)
+	q := s.queues[t.Team]
+	if q == nil {
+		q = &teamQueue{team: t.Team, readyIndex: -1, finishTag: math.Inf(-1)}
+		s.queues[t.Team] = q
+		s.teamNames = append(s.teamNames, t.Team)
 	}
-	if l.terms != t {
-		l.right = nil
-		if s.rights != nil && t.Absolute() > 0 {
-			l.right = s.rights(t)
+	if q.terms != t {
+		q.limitShare = nil
+		if s.limitShares != nil && t.Absolute() > 0 {
+			q.limitShare = s.limitShares(t)
 		}
 	}
-	l.terms, l.touched = t, s.now // requests that wait are served under the newer terms
-	for len(s.placed) <= t.place {
-		s.placed = append(s.placed, nil)
+	q.terms, q.lastUsed = t, s.now // waiting requests are served under the newer terms
+	for len(s.queuesByIndex) <= t.index {
+		s.queuesByIndex = append(s.queuesByIndex, nil)
 	}
-	s.placed[t.place] = l
-	return l
+	s.queuesByIndex[t.index] = q
+	return q
 }
 
-// keptIdle is how long a line is kept that nothing came for.
-const keptIdle = Time(10 * time.Second)
+// queueIdleTimeout is how long a queue without new requests is kept.
+const queueIdleTimeout = Time(10 * time.Second)
 
-// forget looks at one or two lines and drops those that have been idle for a while and owe
-// nothing: their tag would be set to the present time less their burst, as a new one's is.
-func (s *Scheduler) forget() {
-	for range min(2, len(s.names)) {
-		s.sweep %= len(s.names)
-		name := s.names[s.sweep]
-		if l := s.lines[name]; s.now-l.touched > keptIdle && l.out+l.parked == 0 && len(l.items.list) == 0 && !l.isHeld && l.finish <= s.v-l.terms.Burst.Seconds() {
-			delete(s.lines, name)
-			if s.placed[l.terms.place] == l {
-				s.placed[l.terms.place] = nil
+// dropIdleQueues checks one or two queues and drops those that have been idle for a while and owe
+// nothing: their start tag would be the present virtual time less their burst, as that of a new queue.
+func (s *Scheduler) dropIdleQueues() {
+	for range min(2, len(s.teamNames)) {
+		s.sweepIndex %= len(s.teamNames)
+		name := s.teamNames[s.sweepIndex]
+		if q := s.queues[name]; s.now-q.lastUsed > queueIdleTimeout && q.inFlight+q.parked == 0 && len(q.items.list) == 0 && !q.isBlocked && q.finishTag <= s.virtualTime-q.terms.Burst.Seconds() {
+			delete(s.queues, name)
+			if s.queuesByIndex[q.terms.index] == q {
+				s.queuesByIndex[q.terms.index] = nil
 			}
-			s.names[s.sweep] = s.names[len(s.names)-1]
-			s.names = s.names[:len(s.names)-1]
-			if len(s.names) == 0 {
+			s.teamNames[s.sweepIndex] = s.teamNames[len(s.teamNames)-1]
+			s.teamNames = s.teamNames[:len(s.teamNames)-1]
+			if len(s.teamNames) == 0 {
 				return
 			}
 			continue
 		}
-		s.sweep++
+		s.sweepIndex++
 	}
 }
 
-// Counts are how many requests are out and wait, and how many teams are kept in mind.
-func (s *Scheduler) Counts() (out, waiting, teams int) {
-	return s.out, len(s.waiting.list), len(s.lines)
+// Counts returns how many requests are in flight and waiting, and how many teams have a queue.
+func (s *Scheduler) Counts() (inFlight, waiting, teams int) {
+	return s.inFlight, len(s.waiting.list), len(s.queues)
 }
