--- a/internal/exchange/fair.go
+++ b/internal/exchange/fair.go
@@ -49,8 +49,8 @@
 		p.lookedAt = now
 		p.sched.SetCapacity(now, p.b.Capacity(now))
 		out, waiting, _ := p.sched.Counts()
-		p.fleetShare.Look(now, out > 0, waiting > 0)
-		p.sched.SetPart(p.fleetShare.Value())
+		p.fleetShare.Update(now, out > 0, waiting > 0)
+		p.sched.SetShare(p.fleetShare.Value())
 	}
 }
 
@@ -70,7 +70,7 @@
 		c := it.Owner.(*Call)
 		p.finish(c, late(c, after))
 	}
-	if due := p.sched.Due(); due > 0 {
+	if due := p.sched.NextExpiry(); due > 0 {
 		if due = min(due, now+pumpEvery); p.pumpAt == 0 || due < p.pumpAt {
 			p.pumpAt = due
 			heap.Push(&p.timers, wake{due, tokenPump})
@@ -107,7 +107,7 @@
 		if harmless {
 			r = Reply{Verdict: Refused, After: p.advice}
 		}
-	case c.Item == nil || p.limiter == nil || p.limiter.Further(c.Item.Account, c.Item.Terms, now):
+	case c.Item == nil || p.limiter == nil || p.limiter.AllowAttempt(c.Item.Account, c.Item.Terms, now):
 		return true
 	case harmless:
 		r = Reply{Verdict: Refused, After: time.Second, Violation: &contract.Violation{Status: 429, Title: "retry budget used up",
@@ -126,8 +126,8 @@
 	if c.Item == nil || p.sched == nil || r != frostshift.OK && r != frostshift.Failed {
 		return r
 	}
-	p.sched.Result(c.Item, r == frostshift.Failed)
-	if r == frostshift.Failed && !p.sched.Blame(c.Item) {
+	p.sched.RecordResult(c.Item, r == frostshift.Failed)
+	if r == frostshift.Failed && !p.sched.CountsAgainstHost(c.Item) {
 		return frostshift.Canceled
 	}
 	return r
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -113,7 +113,7 @@
 }
 
 // team is what a pool goes by for a team; nil: its absolute figures are divided evenly.
-func (r *rights) team(pool string, t *contract.Terms) contract.Right {
+func (r *rights) team(pool string, t *contract.Terms) contract.LimitShare {
 	l, shared := limitOf(pool, t)
 	if !shared {
 		return nil
@@ -125,7 +125,7 @@
 
 // limitOf is what a team's absolute figures are at a pool; false: they are divided evenly.
 func limitOf(pool string, t *contract.Terms) (quota.Limit, bool) {
-	return quota.Limit{Name: TeamLimit(pool, t.Team), Amount: t.Absolute(), Mode: t.Mode}, t.Absolute() > 0 && !t.Apart
+	return quota.Limit{Name: TeamLimit(pool, t.Team), Amount: t.Absolute(), Mode: t.Mode}, t.Absolute() > 0 && !t.SplitEvenly
 }
 
 // TeamLimit names the limit of a team at a pool.
