--- a/internal/verdict/after.go
+++ b/internal/verdict/after.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// MostAfter is the longest hint that is read from an answer: a host that wants to be left
+// MaxRetryAfter is the longest hint that is read from an answer: a host that wants to be left
 // alone for longer is asked again all the same.
-const MostAfter = 10 * time.Minute
+const MaxRetryAfter = 10 * time.Minute
 
 // After reads when a host wants to be asked again: Retry-After in seconds or as a date (RFC
 // 9110 section 10.2.3), as of now. What can't be read or lies in the past is 0, no hint.
@@ -25,15 +25,15 @@
 	if err != nil {
 		return 0
 	}
-	return min(max(0, at.Sub(now)), MostAfter)
+	return min(max(0, at.Sub(now)), MaxRetryAfter)
 }
 
 func seconds(s float64) time.Duration {
 	switch {
 	case !(s > 0):
 		return 0
-	case s > MostAfter.Seconds():
-		return MostAfter
+	case s > MaxRetryAfter.Seconds():
+		return MaxRetryAfter
 	}
 	return time.Duration(s * float64(time.Second))
 }
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -202,10 +202,10 @@
 
 func TestAfter(t *testing.T) {
 	now := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	for text, want := range map[string]time.Duration{"": 0, "3": 3 * time.Second, "0.25": 250 * time.Millisecond, "3600": MostAfter, "-5": 0,
-		"1e30": MostAfter, "1" + strings.Repeat("0", 30): MostAfter, "1e999": MostAfter, "NaN": 0, "soon": 0, strings.Repeat("9", 500): 0,
+	for text, want := range map[string]time.Duration{"": 0, "3": 3 * time.Second, "0.25": 250 * time.Millisecond, "3600": MaxRetryAfter, "-5": 0,
+		"1e30": MaxRetryAfter, "1" + strings.Repeat("0", 30): MaxRetryAfter, "1e999": MaxRetryAfter, "NaN": 0, "soon": 0, strings.Repeat("9", 500): 0,
 		now.Add(90 * time.Second).Format(http.TimeFormat): 90 * time.Second, now.Add(-time.Hour).Format(http.TimeFormat): 0,
-		now.Add(1000 * time.Hour).Format(http.TimeFormat): MostAfter} {
+		now.Add(1000 * time.Hour).Format(http.TimeFormat): MaxRetryAfter} {
 		if got := After(http.Header{"Retry-After": {text}}, now); got != want {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
