--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -53,5 +53,5 @@
 	if a.Status != http.StatusServiceUnavailable {
 		return 0
 	}
-	return verdict.After(a.Header, time.Now())
+	return verdict.RetryAfter(a.Header, time.Now())
 }
--- a/internal/verdict/after.go
+++ b/internal/verdict/after.go
@@ -11,9 +11,9 @@
 // alone for longer is asked again all the same.
 const MaxRetryAfter = 10 * time.Minute
 
-// After reads when a host wants to be asked again: Retry-After in seconds or as a date (RFC
+// RetryAfter reads when a host wants to be asked again: Retry-RetryAfter in seconds or as a date (RFC
 // 9110 section 10.2.3), as of now. What can't be read or lies in the past is 0, no hint.
-func After(header http.Header, now time.Time) time.Duration {
+func RetryAfter(header http.Header, now time.Time) time.Duration {
 	v := header["Retry-After"]
 	if len(v) == 0 || len(v[0]) > 64 {
 		return 0
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -206,11 +206,11 @@
 		"1e30": MaxRetryAfter, "1" + strings.Repeat("0", 30): MaxRetryAfter, "1e999": MaxRetryAfter, "NaN": 0, "soon": 0, strings.Repeat("9", 500): 0,
 		now.Add(90 * time.Second).Format(http.TimeFormat): 90 * time.Second, now.Add(-time.Hour).Format(http.TimeFormat): 0,
 		now.Add(1000 * time.Hour).Format(http.TimeFormat): MaxRetryAfter} {
-		if got := After(http.Header{"Retry-After": {text}}, now); got != want {
+		if got := RetryAfter(http.Header{"Retry-After": {text}}, now); got != want {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
 	}
-	if After(nil, now) != 0 {
+	if RetryAfter(nil, now) != 0 {
 		t.Error("no header")
 	}
 }
