--- a/internal/emulator/quota.go
+++ b/internal/emulator/quota.go
@@ -64,7 +64,7 @@
 			teams(t)
 		}
 	}
-	return teams, g.store.Right(quota.Limit{Name: "repeats at " + pool, Amount: verdict.AlwaysRate, Mode: mode})
+	return teams, g.store.Right(quota.Limit{Name: "repeats at " + pool, Amount: verdict.MinRetryRate, Mode: mode})
 }
 
 // said delivers packets, half a way there and back later, where links hold then.
--- a/internal/gateway/quota.go
+++ b/internal/gateway/quota.go
@@ -135,7 +135,7 @@
 func (r *rights) repeats(pool string) verdict.Right {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.store.Right(quota.Limit{Name: repeatLimit(pool), Amount: verdict.AlwaysRate, Mode: r.mode})
+	return r.store.Right(quota.Limit{Name: repeatLimit(pool), Amount: verdict.MinRetryRate, Mode: r.mode})
 }
 
 func repeatLimit(pool string) string { return "repeats at " + pool }
--- a/internal/learning/learning.go
+++ b/internal/learning/learning.go
@@ -87,7 +87,7 @@
 				pool.Learned = Aged(*pool.Learned, age)
 			}
 			if pool.Repeats != nil { // some come back by themselves
-				pool.Repeats = new(*pool.Repeats + verdict.AlwaysRate*age.Seconds())
+				pool.Repeats = new(*pool.Repeats + verdict.MinRetryRate*age.Seconds())
 			}
 			if pool.List != nil && (pool.List.Index == nil || pool.List.Check() != nil) {
 				pool.List = nil
--- a/internal/verdict/budget.go
+++ b/internal/verdict/budget.go
@@ -20,8 +20,8 @@
 }
 
 const (
-	// AlwaysRate is how many repeats a second are allowed whatever the load.
-	AlwaysRate = 1.0
+	// MinRetryRate is how many repeats a second are allowed whatever the load.
+	MinRetryRate = 1.0
 	mostSaved  = 100.0 // repeats that may be saved up
 	firstSaved = 10.0
 )
@@ -61,7 +61,7 @@
 		b.tokens = min(b.tokens, max(mostSaved*part, 1))
 	}
 	if dt := (now - b.at).Seconds(); b.at > 0 && dt > 0 {
-		b.tokens = min(b.tokens+dt*AlwaysRate*part, max(b.tokens, firstSaved*part, 1))
+		b.tokens = min(b.tokens+dt*MinRetryRate*part, max(b.tokens, firstSaved*part, 1))
 	}
 	b.at = now
 	if b.tokens < 1 {
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -290,7 +290,7 @@
 				repeats++
 			}
 		}
-		if most := firstSaved + share*float64(asked) + AlwaysRate*now.Seconds() + 1; float64(repeats) > most {
+		if most := firstSaved + share*float64(asked) + MinRetryRate*now.Seconds() + 1; float64(repeats) > most {
 			rt.Fatalf("%d repeats of %d, %v allowed", repeats, asked, most)
 		}
 	})
