--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -413,9 +413,9 @@
 	}{{true, 0, true}, {false, 0, true}, {false, 2 * time.Second, true}, {false, 2 * restoreWithin, false}} {
 		synctest.Test(t, func(t *testing.T) {
 			p := stillPool(t, New(NewClock()), "a", newUpstream(always(frostshift.OK, time.Millisecond)), nil)
-			p.repeats.Begin(2)
-			p.repeats.Begin(99)
-			p.repeats.Begin(-1)
+			p.repeats.Restore(2)
+			p.repeats.Restore(99)
+			p.repeats.Restore(-1)
 			p.learned = &frostshift.Memory{Version: frostshift.MemoryVersion, Admit: 1, Hosts: []frostshift.HostMemory{{ID: 1, RTT: 0.25, Limit: 7}}}
 			if c.saved {
 				go p.Run(hostsOf(2), func() {})
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -145,7 +145,7 @@
 		p.repeats.Share(c.RepeatRight)
 	}
 	if c.Repeated != nil {
-		p.repeats.Begin(*c.Repeated)
+		p.repeats.Restore(*c.Repeated)
 	}
 	if p.room == nil {
 		p.room = Unbounded{}
--- a/internal/verdict/budget.go
+++ b/internal/verdict/budget.go
@@ -39,8 +39,8 @@
 // Saved is how many repeats are saved up.
 func (b *Budget) Saved() float64 { return b.tokens }
 
-// Begin says what an earlier process had saved up: nobody begins with more than a new budget's, nor with that again.
-func (b *Budget) Begin(saved float64) {
+// Restore says what an earlier process had saved up: nobody begins with more than a new budget's, nor with that again.
+func (b *Budget) Restore(saved float64) {
 	if saved >= 0 {
 		b.tokens = min(b.tokens, saved)
 	}
