--- a/internal/exchange/fair.go
+++ b/internal/exchange/fair.go
@@ -101,7 +101,7 @@
 			r = Reply{Verdict: Refused, After: p.advice}
 		}
 	case c.spent+len(c.attempts) == 0:
-		p.repeats.Asked()
+		p.repeats.RecordRequest()
 		return true
 	case c.mayRan && !p.repeats.Take(now):
 		if harmless {
--- a/internal/verdict/budget.go
+++ b/internal/verdict/budget.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// Asked notes a request's first attempt.
-func (b *Budget) Asked() { b.tokens = min(b.tokens+b.share, mostSaved) }
+// RecordRequest notes a request's first attempt.
+func (b *Budget) RecordRequest() { b.tokens = min(b.tokens+b.share, mostSaved) }
 
 // Take says whether a repeat is allowed, and counts it.
 func (b *Budget) Take(now frostshift.Time) bool {
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -284,7 +284,7 @@
 		for range rapid.IntRange(1, 500).Draw(rt, "steps") {
 			now += frostshift.Time(rapid.IntRange(0, 50).Draw(rt, "ms")) * time.Millisecond
 			if rapid.Bool().Draw(rt, "ask") {
-				b.Asked()
+				b.RecordRequest()
 				asked++
 			} else if b.Take(now) {
 				repeats++
