--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -139,9 +139,9 @@
 // Blames says that every fault is the host's own.
 func (s *Set) Blames() bool { return s == nil || s.blame }
 
-// Own says whether the meanings are the platform's: answers are then given as its protocol
+// IsPlatform says whether the meanings are the platform's: answers are then given as its protocol
 // has them and no other way.
-func (s *Set) Own() bool { return s == nil || s.own }
+func (s *Set) IsPlatform() bool { return s == nil || s.own }
 
 // Name is the name of the set in its configuration.
 func (s *Set) Name() string {
