--- a/internal/verdict/compile.go
+++ b/internal/verdict/compile.go
@@ -89,7 +89,7 @@
 
 func (x *change) apply(m Meaning) Meaning {
 	if x.hasGives {
-		m.Gives = Gives(x.gives)
+		m.Gives = Disposition(x.gives)
 	}
 	if x.hasRan {
 		m.Ran = Ran(x.ran)
@@ -169,13 +169,13 @@
 		c.say(i, "event", false, "%q is none of %s", r.Event, strings.Join(eventNames[:], ", "))
 	case len(r.Status) > 0 || r.Header != "" || r.Ran != "" || r.Health != "":
 		c.say(i, "event", false, "an event has no status and no header, and it has its own meaning but for answer")
-	case !hasGives || Gives(gives) == Hidden:
+	case !hasGives || Disposition(gives) == Hidden:
 		c.say(i, "answer", false, "an event is final (no further attempt) or spare (another may follow)")
 	case c.events[at]:
 		c.say(i, "event", true, "a rule before it decides %s", r.Event)
 	default:
 		c.events[at] = true
-		c.set.final[at] = Gives(gives) == Final
+		c.set.final[at] = Disposition(gives) == Final
 	}
 }
 
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -11,13 +11,13 @@
 
 import "net/http"
 
-// Gives says what the client gets of an answer.
-type Gives uint8
+// Disposition says what the client gets of an answer.
+type Disposition uint8
 
 // What the client gets.
 const (
 	// Final is the service's own answer: it goes to the client at once.
-	Final Gives = iota
+	Final Disposition = iota
 	// Spare is kept while another attempt may bring a better one, and goes to the client if
 	// none does.
 	Spare
@@ -48,7 +48,7 @@
 
 // Meaning is the answer to the three questions.
 type Meaning struct {
-	Gives  Gives
+	Gives  Disposition
 	Ran    Ran
 	Health Health
 }
@@ -208,7 +208,7 @@
 )
 
 // String names it as configurations do.
-func (g Gives) String() string { return givesNames[g] }
+func (g Disposition) String() string { return givesNames[g] }
 
 // String names it as configurations do.
 func (r Ran) String() string { return ranNames[r] }
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		if r.Answer != "" {
-			m.Gives = Gives(slices.Index(givesNames[:], r.Answer))
+			m.Gives = Disposition(slices.Index(givesNames[:], r.Answer))
 		}
 		if r.Ran != "" {
 			m.Ran = Ran(slices.Index(ranNames[:], r.Ran))
