--- a/cmd/stilespool/check.go
+++ b/cmd/stilespool/check.go
@@ -156,13 +156,13 @@
 func tellMeaning(out io.Writer, set *verdict.Set, status int, h http.Header, effect frostshift.Effect) {
 	m := set.Judge(status, h)
 	fmt.Fprintf(out, "  a host's %d, by the answers %q:\n", status, set.Name())
-	again := m.Gives != verdict.Final && (m.Ran == verdict.Never || effect != frostshift.Unsafe)
+	again := m.Disposition != verdict.Final && (m.Ran == verdict.Never || effect != frostshift.Unsafe)
 	switch {
-	case m.Gives == verdict.Final:
+	case m.Disposition == verdict.Final:
 		fmt.Fprintln(out, "    client   gets it at once")
-	case again && m.Gives == verdict.Spare && set.FromHost():
+	case again && m.Disposition == verdict.Spare && set.FromHost():
 		fmt.Fprintln(out, "    client   gets it if no further attempt brings a better one")
-	case m.Gives == verdict.Spare && set.FromHost():
+	case m.Disposition == verdict.Spare && set.FromHost():
 		fmt.Fprintln(out, "    client   gets it: no further attempt may be made")
 	default:
 		fmt.Fprintln(out, "    client   never gets it: the gateway answers if no further attempt brings one")
--- a/internal/exchange/call.go
+++ b/internal/exchange/call.go
@@ -299,9 +299,9 @@
 	c.why = whyOf(e, result)
 	switch {
 	case e.answer == nil:
-	case c.closed || e.meaning.Gives == verdict.Hidden:
+	case c.closed || e.meaning.Disposition == verdict.Hidden:
 		e.answer.Release() // nobody gets it
-	case e.meaning.Gives == verdict.Final:
+	case e.meaning.Disposition == verdict.Final:
 		p.finish(c, Reply{Verdict: Served, Answer: e.answer})
 	default:
 		p.keep(c, e.answer)
--- a/internal/upstream/http1/flow.go
+++ b/internal/upstream/http1/flow.go
@@ -129,7 +129,7 @@
 		if resp.StatusCode != http.StatusNoContent {
 			a.Length = resp.ContentLength
 		}
-	case m.Gives == verdict.Final && req.Flow.Answers && (resp.ContentLength < 0 || resp.ContentLength > req.Flow.Hold):
+	case m.Disposition == verdict.Final && req.Flow.Answers && (resp.ContentLength < 0 || resp.ContentLength > req.Flow.Hold):
 		var ahead *beginningOf
 		var whole bool
 		if ahead, whole, err = t.ahead(c, req, resp); err == nil && !whole {
--- a/internal/upstream/http1/http1_test.go
+++ b/internal/upstream/http1/http1_test.go
@@ -49,7 +49,7 @@
 		return result, nil
 	}
 	switch m := verdict.Platform().Judge(answer.Status, answer.Header); {
-	case m.Gives == verdict.Final:
+	case m.Disposition == verdict.Final:
 		return frostshift.OK, answer
 	case m.Ran == verdict.Never:
 		return frostshift.Full, nil
--- a/internal/upstream/http2/flow.go
+++ b/internal/upstream/http2/flow.go
@@ -160,7 +160,7 @@
 		return false
 	}
 	m := t.Answers.Judge(t.status, t.header)
-	if m.Gives != verdict.Final {
+	if m.Disposition != verdict.Final {
 		return false // it is taken whole, or not at all
 	}
 	fl := &answerFlow{Queue: t.conn.link.NewQueue(t.stream, t.u.cfg.Bytes), t: t, idle: req.Flow.Idle, until: req.Flow.Ends, gave: time.Now()}
--- a/internal/verdict/compile.go
+++ b/internal/verdict/compile.go
@@ -89,7 +89,7 @@
 
 func (x *change) apply(m Meaning) Meaning {
 	if x.hasGives {
-		m.Gives = Disposition(x.gives)
+		m.Disposition = Disposition(x.gives)
 	}
 	if x.hasRan {
 		m.Ran = Ran(x.ran)
@@ -97,7 +97,7 @@
 	if x.hasHealth {
 		m.Health = Health(x.health)
 	}
-	if m.Ran == Never && m.Health == Good && m.Gives != Final {
+	if m.Ran == Never && m.Health == Good && m.Disposition != Final {
 		m.Health = Silent // it has shown nothing but that it turns away
 	}
 	return m
@@ -142,7 +142,7 @@
 			h.meaning = m
 			c.lists[status] = append(c.lists[status], h)
 		}
-		if status < 400 && m.Ran == Never && m.Gives == Final {
+		if status < 400 && m.Ran == Never && m.Disposition == Final {
 			c.say(i, "ran", false, "an answer %d that the client gets has run", status)
 			return
 		}
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -48,7 +48,7 @@
 
 // Meaning is the answer to the three questions.
 type Meaning struct {
-	Gives  Disposition
+	Disposition  Disposition
 	Ran    Ran
 	Health Health
 }
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		if r.Answer != "" {
-			m.Gives = Disposition(slices.Index(givesNames[:], r.Answer))
+			m.Disposition = Disposition(slices.Index(givesNames[:], r.Answer))
 		}
 		if r.Ran != "" {
 			m.Ran = Ran(slices.Index(ranNames[:], r.Ran))
@@ -85,7 +85,7 @@
 		if r.Health != "" {
 			m.Health = Health(slices.Index(healthNames[:], r.Health))
 		}
-		if m.Ran == Never && m.Health == Good && m.Gives != Final {
+		if m.Ran == Never && m.Health == Good && m.Disposition != Final {
 			m.Health = Silent
 		}
 		return m
