--- a/internal/verdict/budget.go
+++ b/internal/verdict/budget.go
@@ -20,8 +20,8 @@
 }
 
 const (
-	// AlwaysRate is how many repeats a second are allowed whatever the load.
-	AlwaysRate = 1.0
+	// MinRetryRate is how many repeats a second are allowed whatever the load.
+	MinRetryRate = 1.0
 	mostSaved  = 100.0 // repeats that may be saved up
 	firstSaved = 10.0
 )
@@ -39,15 +39,15 @@
 // Saved is how many repeats are saved up.
 func (b *Budget) Saved() float64 { return b.tokens }
 
-// Begin says what an earlier process had saved up: nobody begins with more than a new budget's, nor with that again.
-func (b *Budget) Begin(saved float64) {
+// Restore says what an earlier process had saved up: nobody begins with more than a new budget's, nor with that again.
+func (b *Budget) Restore(saved float64) {
 	if saved >= 0 {
 		b.tokens = min(b.tokens, saved)
 	}
 }
 
-// Asked notes a request's first attempt.
-func (b *Budget) Asked() { b.tokens = min(b.tokens+b.share, mostSaved) }
+// RecordRequest notes a request's first attempt.
+func (b *Budget) RecordRequest() { b.tokens = min(b.tokens+b.share, mostSaved) }
 
 // Take says whether a repeat is allowed, and counts it.
 func (b *Budget) Take(now frostshift.Time) bool {
@@ -61,7 +61,7 @@
 		b.tokens = min(b.tokens, max(mostSaved*part, 1))
 	}
 	if dt := (now - b.at).Seconds(); b.at > 0 && dt > 0 {
-		b.tokens = min(b.tokens+dt*AlwaysRate*part, max(b.tokens, firstSaved*part, 1))
+		b.tokens = min(b.tokens+dt*MinRetryRate*part, max(b.tokens, firstSaved*part, 1))
 	}
 	b.at = now
 	if b.tokens < 1 {
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -11,13 +11,13 @@
 
 import "net/http"
 
-// Gives says what the client gets of an answer.
-type Gives uint8
+// Disposition says what the client gets of an answer.
+type Disposition uint8
 
 // What the client gets.
 const (
 	// Final is the service's own answer: it goes to the client at once.
-	Final Gives = iota
+	Final Disposition = iota
 	// Spare is kept while another attempt may bring a better one, and goes to the client if
 	// none does.
 	Spare
@@ -48,7 +48,7 @@
 
 // Meaning is the answer to the three questions.
 type Meaning struct {
-	Gives  Gives
+	Disposition  Disposition
 	Ran    Ran
 	Health Health
 }
@@ -139,9 +139,9 @@
 // Blames says that every fault is the host's own.
 func (s *Set) Blames() bool { return s == nil || s.blame }
 
-// Own says whether the meanings are the platform's: answers are then given as its protocol
+// IsPlatform says whether the meanings are the platform's: answers are then given as its protocol
 // has them and no other way.
-func (s *Set) Own() bool { return s == nil || s.own }
+func (s *Set) IsPlatform() bool { return s == nil || s.own }
 
 // Name is the name of the set in its configuration.
 func (s *Set) Name() string {
@@ -208,7 +208,7 @@
 )
 
 // String names it as configurations do.
-func (g Gives) String() string { return givesNames[g] }
+func (g Disposition) String() string { return givesNames[g] }
 
 // String names it as configurations do.
 func (r Ran) String() string { return ranNames[r] }
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		if r.Answer != "" {
-			m.Gives = Gives(slices.Index(givesNames[:], r.Answer))
+			m.Disposition = Disposition(slices.Index(givesNames[:], r.Answer))
 		}
 		if r.Ran != "" {
 			m.Ran = Ran(slices.Index(ranNames[:], r.Ran))
@@ -85,7 +85,7 @@
 		if r.Health != "" {
 			m.Health = Health(slices.Index(healthNames[:], r.Health))
 		}
-		if m.Ran == Never && m.Health == Good && m.Gives != Final {
+		if m.Ran == Never && m.Health == Good && m.Disposition != Final {
 			m.Health = Silent
 		}
 		return m
@@ -202,15 +202,15 @@
 
 func TestAfter(t *testing.T) {
 	now := time.Date(2026, 12, 1, 12, 0, 0, 0, time.UTC)
-	for text, want := range map[string]time.Duration{"": 0, "3": 3 * time.Second, "0.25": 250 * time.Millisecond, "3600": MostAfter, "-5": 0,
-		"1e30": MostAfter, "1" + strings.Repeat("0", 30): MostAfter, "1e999": MostAfter, "NaN": 0, "soon": 0, strings.Repeat("9", 500): 0,
+	for text, want := range map[string]time.Duration{"": 0, "3": 3 * time.Second, "0.25": 250 * time.Millisecond, "3600": MaxRetryAfter, "-5": 0,
+		"1e30": MaxRetryAfter, "1" + strings.Repeat("0", 30): MaxRetryAfter, "1e999": MaxRetryAfter, "NaN": 0, "soon": 0, strings.Repeat("9", 500): 0,
 		now.Add(90 * time.Second).Format(http.TimeFormat): 90 * time.Second, now.Add(-time.Hour).Format(http.TimeFormat): 0,
-		now.Add(1000 * time.Hour).Format(http.TimeFormat): MostAfter} {
-		if got := After(http.Header{"Retry-After": {text}}, now); got != want {
+		now.Add(1000 * time.Hour).Format(http.TimeFormat): MaxRetryAfter} {
+		if got := RetryAfter(http.Header{"Retry-After": {text}}, now); got != want {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
 	}
-	if After(nil, now) != 0 {
+	if RetryAfter(nil, now) != 0 {
 		t.Error("no header")
 	}
 }
@@ -284,13 +284,13 @@
 		for range rapid.IntRange(1, 500).Draw(rt, "steps") {
 			now += frostshift.Time(rapid.IntRange(0, 50).Draw(rt, "ms")) * time.Millisecond
 			if rapid.Bool().Draw(rt, "ask") {
-				b.Asked()
+				b.RecordRequest()
 				asked++
 			} else if b.Take(now) {
 				repeats++
 			}
 		}
-		if most := firstSaved + share*float64(asked) + AlwaysRate*now.Seconds() + 1; float64(repeats) > most {
+		if most := firstSaved + share*float64(asked) + MinRetryRate*now.Seconds() + 1; float64(repeats) > most {
 			rt.Fatalf("%d repeats of %d, %v allowed", repeats, asked, most)
 		}
 	})
