--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -285,7 +285,7 @@
 		p.g.listed(w.now, n, hosts)
 	}
 	if p.belief == nil {
-		p.News(frostshift.ListFull, hosts, nil)
+		p.UpdateHosts(frostshift.ListFull, hosts, nil)
 		return
 	}
 	for _, h := range w.hosts[n] {
@@ -316,7 +316,7 @@
 		}
 	}
 	if len(hosts) > 0 {
-		p.News(frostshift.ListChanges, hosts, nil)
+		p.UpdateHosts(frostshift.ListChanges, hosts, nil)
 	}
 }
 
--- a/internal/exchange/events_test.go
+++ b/internal/exchange/events_test.go
@@ -21,7 +21,7 @@
 		p := stillPool(t, x, "a", newUpstream(always(frostshift.Reset, time.Millisecond)), nil)
 		p.trouble = eventlog.New(slog.New(slog.NewTextHandler(&text, nil)))
 		go p.Run(nil, nil)
-		p.News(frostshift.ListFull, hostsOf(6), nil)
+		p.UpdateHosts(frostshift.ListFull, hostsOf(6), nil)
 		ask := func(id string) {
 			if r := <-x.ask(1, id, p, nil).Reply; r.Verdict != Failed {
 				t.Errorf("%s: %+v", id, r)
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -62,7 +62,7 @@
 		if r := <-x.ask(1, "none", a, b).Reply; r.Verdict != Served || r.Pool != "b" {
 			t.Errorf("without hosts: %+v", r)
 		}
-		a.News(frostshift.ListFull, hostsOf(1), nil)
+		a.UpdateHosts(frostshift.ListFull, hostsOf(1), nil)
 		var calls []*Call
 		for i := range 50 {
 			calls = append(calls, x.ask(0, fmt.Sprint("load", i), a, b))
@@ -72,7 +72,7 @@
 				t.Errorf("a full pool's request went to %q", r.Pool)
 			}
 		}
-		a.News(frostshift.ListFull, nil, nil) // the list empties
+		a.UpdateHosts(frostshift.ListFull, nil, nil) // the list empties
 		if r := <-x.ask(1, "empty", a, b).Reply; r.Verdict != Served || r.Pool != "b" {
 			t.Errorf("with an empty list: %+v", r)
 		}
@@ -95,7 +95,7 @@
 		n := 0
 		first := newUpstream(func(*Attempt) (frostshift.Result, time.Duration) {
 			if n++; n == 4 { // the list empties while the fourth is out
-				a.News(frostshift.ListFull, nil, nil)
+				a.UpdateHosts(frostshift.ListFull, nil, nil)
 			}
 			return frostshift.NotSent, 5 * time.Millisecond
 		})
@@ -123,7 +123,7 @@
 		go a.Run(nil, nil)
 		early := x.ask(1, "early", a, b)
 		synctest.Wait()
-		a.News(frostshift.ListFull, hostsOf(1), nil)
+		a.UpdateHosts(frostshift.ListFull, hostsOf(1), nil)
 		if r := <-early.Reply; r.Verdict != Served || r.Pool != "a" {
 			t.Errorf("before the list: %+v", r)
 		}
@@ -275,7 +275,7 @@
 			p := stillPool(t, x, "a", u, nil)
 			p.sched, p.fleetShare, p.limiter = contract.NewScheduler(1), contract.NewFleetShare(1), contract.NewLimiter(100, 100)
 			go p.Run(nil, nil)
-			p.News(frostshift.ListFull, hostsOf(6), nil)
+			p.UpdateHosts(frostshift.ListFull, hostsOf(6), nil)
 			poor := &contract.Terms{Team: "poor", Share: 1, Classes: map[string]contract.ClassTerms{"c": {}}}
 			ask := func(id string) Reply {
 				account, v := p.limiter.Enter(poor, 0, false, x.clock.Now())
@@ -316,7 +316,7 @@
 		p := stillPool(t, x, "a", u, nil)
 		p.sched, p.fleetShare, p.limiter = contract.NewScheduler(1), contract.NewFleetShare(1), contract.NewLimiter(10_000, 100)
 		go p.Run(nil, nil)
-		p.News(frostshift.ListFull, hostsOf(2), nil)
+		p.UpdateHosts(frostshift.ListFull, hostsOf(2), nil)
 		send := func(tm *contract.Terms, id string) *Call {
 			deadline := x.clock.Now() + time.Second
 			return x.Submit(Request{ID: id, Class: 0, Tenant: -1, Deadline: deadline, Message: id,
@@ -387,7 +387,7 @@
 				}
 			}
 			go p.Run(nil, nil)
-			p.News(frostshift.ListFull, hostsOf(1), nil)
+			p.UpdateHosts(frostshift.ListFull, hostsOf(1), nil)
 			call := x.ask(1, "r", p, nil)
 			select {
 			case <-call.Reply:
@@ -421,10 +421,10 @@
 				go p.Run(hostsOf(2), func() {})
 			} else {
 				go p.Run(nil, nil)
-				p.News(frostshift.ListFailed, nil, nil)
+				p.UpdateHosts(frostshift.ListFailed, nil, nil)
 			}
 			time.Sleep(c.after)
-			p.News(frostshift.ListFull, hostsOf(2), nil)
+			p.UpdateHosts(frostshift.ListFull, hostsOf(2), nil)
 			got := make(chan frostshift.Memory, 1)
 			p.Memory(func(m frostshift.Memory, repeats float64) {
 				if got <- m; repeats != 2 {
--- a/internal/exchange/harness_test.go
+++ b/internal/exchange/harness_test.go
@@ -96,7 +96,7 @@
 func newPool(t testing.TB, x *Exchange, name string, u Upstream, hosts int, room Room) *Pool {
 	p := stillPool(t, x, name, u, room)
 	go p.Run(nil, nil)
-	p.News(frostshift.ListFull, hostsOf(hosts), nil)
+	p.UpdateHosts(frostshift.ListFull, hostsOf(hosts), nil)
 	return p
 }
 
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -201,9 +201,9 @@
 	}
 }
 
-// News gives the loop a host list. apply runs first, in the loop: there the upstream
+// UpdateHosts gives the loop a host list. apply runs first, in the loop: there the upstream
 // learns the addresses of hosts before the balancer may name them.
-func (p *Pool) News(kind frostshift.ListKind, hosts []frostshift.Host, apply func()) {
+func (p *Pool) UpdateHosts(kind frostshift.ListKind, hosts []frostshift.Host, apply func()) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		if apply != nil {
 			apply()
--- a/internal/exchange/rules_test.go
+++ b/internal/exchange/rules_test.go
@@ -64,7 +64,7 @@
 			}
 			for i, p := range pools {
 				go p.Run(nil, nil)
-				p.News(frostshift.ListFull, hostsOf(hosts[i]), nil)
+				p.UpdateHosts(frostshift.ListFull, hostsOf(hosts[i]), nil)
 			}
 			var all sync.WaitGroup
 			for i, p := range plans {
--- a/internal/exchange/send_test.go
+++ b/internal/exchange/send_test.go
@@ -103,7 +103,7 @@
 				t.Fatal(err)
 			}
 			go p.Run(nil, nil)
-			p.News(frostshift.ListFull, hostsOf(4), nil)
+			p.UpdateHosts(frostshift.ListFull, hostsOf(4), nil)
 			call := x.Submit(Request{ID: "k", Tenant: -1, Deadline: x.clock.Now() + 2*time.Second, Message: "k"}, p, nil)
 			never := <-u.attempts
 			time.Sleep(200 * time.Millisecond)
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -182,12 +182,12 @@
 	for i := range hosts {
 		hosts[i].Sharers = l.Sharers
 	}
-	s.ex.News(kind, hosts, func() { s.addresses(l) })
+	s.ex.UpdateHosts(kind, hosts, func() { s.addresses(l) })
 	s.first.Do(func() { s.ex.Behind(func() { close(s.ready) }) })
 }
 
 // Lost says that a watch which must be asked for broke.
-func (s sink) Lost() { s.ex.News(frostshift.ListFailed, nil, nil) }
+func (s sink) Lost() { s.ex.UpdateHosts(frostshift.ListFailed, nil, nil) }
 
 // Moved says nothing to the loop: the first list of the new place is a whole one.
 func (s sink) Moved() {}
--- a/internal/upstream/http2/http2_test.go
+++ b/internal/upstream/http2/http2_test.go
@@ -52,7 +52,7 @@
 	var all sync.WaitGroup
 	all.Go(func() { u.Run(ctx) })
 	all.Go(func() { p.Run(nil, nil) })
-	p.News(frostshift.ListFull, []frostshift.Host{{ID: 1}}, func() { u.Update(true, []upstream.Endpoint{{ID: 1, Address: addr}}) })
+	p.UpdateHosts(frostshift.ListFull, []frostshift.Host{{ID: 1}}, func() { u.Update(true, []upstream.Endpoint{{ID: 1, Address: addr}}) })
 	t.Cleanup(func() {
 		p.Drain()
 		<-p.Done()
