--- a/internal/exchange/twin.go
+++ b/internal/exchange/twin.go
@@ -136,9 +136,9 @@
 	}
 }
 
-// Twins says how many processes share this instance's part of what hosts that have just
+// SetProcesses says how many processes share this instance's part of what hosts that have just
 // started may get. It does not wait for the loop; what was said last holds.
-func (p *Pool) Twins(n int) {
+func (p *Pool) SetProcesses(n int) {
 	p.twins.Store(int32(n))
 	go p.post(event{kind: do, run: func(now frostshift.Time) { p.b.Twins(now, int(p.twins.Load())) }})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -251,7 +251,7 @@
 		g.log.Error("the limits are not divided anew", "err", err)
 	}
 	for _, p := range g.pools {
-		p.ex.Twins(n)
+		p.ex.SetProcesses(n)
 		p.up.Trim(int(w.conns) / n)
 	}
 	if g.opt.Memory != nil {
