--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -43,7 +43,7 @@
 	lost *outcome.Store
 	// remote are the hashes of those that are open at the gateway's other process.
 	remote map[uint64]struct{}
-	twin   Twin // nil: there is none
+	twin   Sibling // nil: there is none
 }
 
 const (
--- a/internal/exchange/twin.go
+++ b/internal/exchange/twin.go
@@ -11,9 +11,9 @@
 // Two processes of one gateway keep one register of open ids: each tells the other what it
 // opens, ends and leaves in doubt, as hashes under a seed that both have.
 
-// Twin is the other process, as far as it is told. It is called with a lock held and must not
+// Sibling is the other process, as far as it is told. It is called with a lock held and must not
 // wait.
-type Twin interface{ Note(text []byte) }
+type Sibling interface{ Note(text []byte) }
 
 // What a note says of a hash.
 const (
@@ -54,7 +54,7 @@
 
 // Link has another process told of all that becomes of ids from now on, and returns what has
 // up to then. With nil none is told any more.
-func (x *Exchange) Link(t Twin) (r Register) {
+func (x *Exchange) Link(t Sibling) (r Register) {
 	for i := range x.ids {
 		x.ids[i].mu.Lock()
 	}
