--- a/internal/exchange/twin.go
+++ b/internal/exchange/twin.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// Noted takes what the other process tells.
-func (x *Exchange) Noted(text []byte) {
+// ApplyNotes takes what the other process tells.
+func (x *Exchange) ApplyNotes(text []byte) {
 	now := x.clock.Now()
 	for ; len(text) >= noteLen; text = text[noteLen:] {
 		h := binary.BigEndian.Uint64(text[1:])
--- a/internal/exchange/twin_test.go
+++ b/internal/exchange/twin_test.go
@@ -19,7 +19,7 @@
 	go func() { // a lock of the sender is held
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.to.Noted(text)
+		w.to.ApplyNotes(text)
 	}()
 }
 
--- a/internal/gateway/hotrestart_link.go
+++ b/internal/gateway/hotrestart_link.go
@@ -73,7 +73,7 @@
 }
 
 // Noted takes what another process tells of ids.
-func (l *link) Noted(text []byte) { l.s.gateway.exchange.Noted(text) }
+func (l *link) Noted(text []byte) { l.s.gateway.exchange.ApplyNotes(text) }
 
 // Called does here what an operator has called for at another process.
 func (l *link) Called(text []byte) error {
