--- a/internal/emulator/inflight.go
+++ b/internal/emulator/inflight.go
@@ -92,7 +92,7 @@
 			list[i] = frostshift.Crowd{Host: frostshift.HostID(n.Host), Out: n.Out, Until: n.Until}
 		}
 		for _, p := range c.g.pools {
-			p.Crowded(list)
+			p.PeerLoad(list)
 			p.turn()
 		}
 	}
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -248,9 +248,9 @@
 	}})
 }
 
-// Crowded gives the balancer what other gateways have out at hosts; of those that are not the pool's it takes no
+// PeerLoad gives the balancer what other gateways have out at hosts; of those that are not the pool's it takes no
 // notice.
-func (p *Pool) Crowded(list []frostshift.Crowd) {
+func (p *Pool) PeerLoad(list []frostshift.Crowd) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		for _, k := range list {
 			p.b.Crowded(now, k)
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -80,7 +80,7 @@
 			list[i] = frostshift.Crowd{Host: frostshift.HostID(n.Host), Out: n.Out, Until: n.Until}
 		}
 		for _, p := range c.g.exchanges() {
-			p.Crowded(list)
+			p.PeerLoad(list)
 		}
 	}
 }
