--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -234,7 +234,7 @@
 		return
 	}
 	p.inTurn = true
-	next := p.Turn()
+	next := p.RunDue()
 	p.inTurn = false
 	if f := p.w.spec.Fallback; f > 0 && f-1 != p.n { // what it has handed on
 		p.g.pools[f-1].turn()
--- a/internal/exchange/loop.go
+++ b/internal/exchange/loop.go
@@ -81,10 +81,10 @@
 	}
 }
 
-// Turn does what has come and is due, for a pool that is played on a clock set by hand and is
+// RunDue does what has come and is due, for a pool that is played on a clock set by hand and is
 // not Run. It says when it is to be called again at the latest; 0: with the next event. Its
 // first call begins the pool.
-func (p *Pool) Turn() (next frostshift.Time) {
+func (p *Pool) RunDue() (next frostshift.Time) {
 	if !p.begun {
 		p.begun = true
 		p.begin(nil, nil)
