--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -214,7 +214,7 @@
 	}
 	if s.Believe {
 		p.belief, p.seen, p.listed = belief.New(belief.Config{}), map[string]belief.Seen{}, map[string]bool{}
-		cfg.Saw = p.saw
+		cfg.HostSeen = p.saw
 	}
 	if k, has := w.kept[keptBy{g.n, i}]; has {
 		cfg.Learned = learning.Aged(k.memory, w.now-k.at)
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -26,9 +26,9 @@
 	Repeated *float64
 	// Banned are the hosts that operators have taken out.
 	Banned []frostshift.HostID
-	// Saw is told of each attempt that shows whether its host is there: it has answered, or
+	// HostSeen is told of each attempt that shows whether its host is there: it has answered, or
 	// could not be connected to. It is called in the loop; nil: nobody asks.
-	Saw func(id frostshift.HostID, answered bool)
+	HostSeen func(id frostshift.HostID, answered bool)
 	// Met is told how each attempt at a host ended and how long it took, as the balancer is; one that had no
 	// answer for longer than its class's aim when its request ended is TimedOut here. It is called in
 	// the loop and must not wait; nil: nobody asks.
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	p := &Pool{name: c.Name, set: c.Settings, log: c.Log, trouble: eventlog.New(c.Log), clock: x.clock, x: x, b: b, upstream: c.Upstream,
-		room: c.Room, watch: c.Watch, saw: c.Saw, met: c.Met, tellOut: c.Out, learned: c.Learned, sched: c.Scheduler, fleetShare: c.FleetShare, limiter: c.Limiter, advice: c.Settings.MaxRetryAfter,
+		room: c.Room, watch: c.Watch, saw: c.HostSeen, met: c.Met, tellOut: c.Out, learned: c.Learned, sched: c.Scheduler, fleetShare: c.FleetShare, limiter: c.Limiter, advice: c.Settings.MaxRetryAfter,
 		events: make(chan event, 1024), quit: make(chan struct{}), done: make(chan struct{}),
 		calls: map[frostshift.RequestID]*Call{}, jury: verdict.NewJury(), repeats: verdict.NewBudget(c.Repeats)}
 	if c.RepeatRight != nil {
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -98,7 +98,7 @@
 			kc.Show = p.views.show
 		}
 		k := keeper.New(kc)
-		p.list, p.keeper, pc.Saw = k, k, k.Saw
+		p.list, p.keeper, pc.HostSeen = k, k, k.Saw
 	} else {
 		cfg := source.Config{Sink: sink{p}, Log: p.log, Asked: def.Settings.Ask, Silence: g.opt.Silence, Every: g.opt.LookEvery}
 		if def.Known != nil {
