--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -199,7 +199,7 @@
 		Cancel: true, MaxRetryAfter: time.Second, PreferNear: s.PreferNear, CrossPrice: s.CrossPrice, ColdFrom: h.Cold, WarmAfter: h.WarmIn,
 		OverloadFactor: fallFactor, Fall: fallSlots * fallSlot}
 	cfg := exchange.PoolConfig{Name: s.Pools[i].Name, Settings: set, Seed: s.Seed + uint64(g.n*len(s.Pools)+i), Log: slog.New(slog.DiscardHandler),
-		Upstream: p, Met: w.met(g), Repeats: s.Repeats}
+		Upstream: p, AttemptEnded: w.met(g), Repeats: s.Repeats}
 	if g.crowd != nil {
 		cfg.Out = g.crowd.out
 	}
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -86,7 +86,7 @@
 		pc.Banned = append(pc.Banned, membership.HostID(name))
 	}
 	if g.hostHealth != nil {
-		pc.Met, p.hostHealth = g.hostHealth.met, g.hostHealth
+		pc.AttemptEnded, p.hostHealth = g.hostHealth.met, g.hostHealth
 	}
 	if g.loads != nil {
 		pc.Out = g.loads.out
