--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -201,7 +201,7 @@
 	cfg := exchange.PoolConfig{Name: s.Pools[i].Name, Settings: set, Seed: s.Seed + uint64(g.n*len(s.Pools)+i), Log: slog.New(slog.DiscardHandler),
 		Upstream: p, AttemptEnded: w.met(g), Repeats: s.Repeats}
 	if g.crowd != nil {
-		cfg.Out = g.crowd.out
+		cfg.InFlightChanged = g.crowd.out
 	}
 	if w.terms != nil {
 		cfg.Scheduler, cfg.FleetShare, cfg.Limiter = contract.NewScheduler(1), contract.NewFleetShare(instances), g.limiter
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -33,9 +33,9 @@
 	// answer for longer than its class's aim when its request ended is TimedOut here. It is called in
 	// the loop and must not wait; nil: nobody asks.
 	AttemptEnded func(id frostshift.HostID, class int, result frostshift.Result, took frostshift.Time)
-	// Out is told of each attempt that goes out to a host, 1, and that it is out no more, -1: it has ended, or
+	// InFlightChanged is told of each attempt that goes out to a host, 1, and that it is out no more, -1: it has ended, or
 	// only the body of its answer is to come. It is called in the loop and must not wait; nil: nobody asks.
-	Out func(id frostshift.HostID, more int)
+	InFlightChanged func(id frostshift.HostID, more int)
 	// Scheduler, FleetShare and Limiter share the pool out among teams; all or none.
 	Scheduler  *contract.Scheduler
 	FleetShare *contract.FleetShare
@@ -138,7 +138,7 @@
 		return nil, err
 	}
 	p := &Pool{name: c.Name, set: c.Settings, log: c.Log, trouble: eventlog.New(c.Log), clock: x.clock, x: x, b: b, upstream: c.Upstream,
-		room: c.Room, watch: c.Watch, saw: c.HostSeen, met: c.AttemptEnded, tellOut: c.Out, learned: c.Learned, sched: c.Scheduler, fleetShare: c.FleetShare, limiter: c.Limiter, advice: c.Settings.MaxRetryAfter,
+		room: c.Room, watch: c.Watch, saw: c.HostSeen, met: c.AttemptEnded, tellOut: c.InFlightChanged, learned: c.Learned, sched: c.Scheduler, fleetShare: c.FleetShare, limiter: c.Limiter, advice: c.Settings.MaxRetryAfter,
 		events: make(chan event, 1024), quit: make(chan struct{}), done: make(chan struct{}),
 		calls: map[frostshift.RequestID]*Call{}, jury: verdict.NewJury(), repeats: verdict.NewBudget(c.Repeats)}
 	if c.RepeatRight != nil {
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -89,7 +89,7 @@
 		pc.AttemptEnded, p.hostHealth = g.hostHealth.met, g.hostHealth
 	}
 	if g.loads != nil {
-		pc.Out = g.loads.out
+		pc.InFlightChanged = g.loads.out
 	}
 	if def.Belief != nil {
 		kc := keeper.Config{Specs: def.Sources, Belief: *def.Belief, Part: def.Part, Log: p.log, List: sink{p}.List, Silence: g.opt.Silence, Every: g.opt.LookEvery}
