--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -325,7 +325,7 @@
 	var pools [2]shift.Pool
 	for i, name := range []string{w.spec.Move.From, w.spec.Move.To} {
 		p := g.pools[w.spec.index(name)]
-		p.Look(func(l exchange.Load) {
+		p.ReportLoad(func(l exchange.Load) {
 			pools[i] = shift.Pool{Ready: l.Ready, Capacity: l.Capacity, Open: float64(l.Open), Pace: l.Pace}
 		})
 		p.turn()
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -285,8 +285,8 @@
 	Pace     float64 // requests a second that hosts which are all cold may get from here; 0: not bounded
 }
 
-// Look has the loop say how it stands, to f in the loop; done is closed if it has ended.
-func (p *Pool) Look(f func(Load)) {
+// ReportLoad has the loop say how it stands, to f in the loop; done is closed if it has ended.
+func (p *Pool) ReportLoad(f func(Load)) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		l := Load{Capacity: p.b.Capacity(now), Open: len(p.calls), Pace: p.b.Pace(now)}
 		l.Members, l.Away = p.b.Members(now)
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -218,7 +218,7 @@
 func look(pools []*exchange.Pool) (members, away int, ok bool) {
 	answers := make(chan exchange.Load, len(pools))
 	for _, p := range pools {
-		go p.Look(func(l exchange.Load) { answers <- l })
+		go p.ReportLoad(func(l exchange.Load) { answers <- l })
 	}
 	late := time.After(lookWithin)
 	for range pools {
--- a/internal/moves/moves.go
+++ b/internal/moves/moves.go
@@ -216,7 +216,7 @@
 	for i, name := range []string{p.From, p.To} {
 		if pool := s.cfg.Pool(name); pool != nil {
 			asked++
-			pool.Look(func(l exchange.Load) {
+			pool.ReportLoad(func(l exchange.Load) {
 				answers <- said{i, shift.Pool{Ready: l.Ready, Capacity: l.Capacity, Open: float64(l.Open), Pace: l.Pace}}
 			})
 		}
