--- a/internal/emulator/inflight.go
+++ b/internal/emulator/inflight.go
@@ -34,7 +34,7 @@
 		c.store.View(w.now, alive)
 		var hosts []inflight.HostID
 		for _, p := range g.pools {
-			p.Standing(func(s frostshift.Standing) {
+			p.ReportStatus(func(s frostshift.Standing) {
 				for _, h := range s.Drawn() {
 					hosts = append(hosts, inflight.HostID(h))
 				}
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -297,7 +297,7 @@
 	}})
 }
 
-// Standing has the loop say what it goes by, to f in the loop.
-func (p *Pool) Standing(f func(frostshift.Standing)) {
+// ReportStatus has the loop say what it goes by, to f in the loop.
+func (p *Pool) ReportStatus(f func(frostshift.Standing)) {
 	p.post(event{kind: do, run: func(now frostshift.Time) { f(p.b.Standing(now)) }})
 }
--- a/internal/gateway/gossip_test.go
+++ b/internal/gateway/gossip_test.go
@@ -81,7 +81,7 @@
 	}
 	sharers := func(g *running) float64 {
 		said := make(chan frostshift.Standing, 1)
-		go g.pool("p").Standing(func(s frostshift.Standing) { said <- s })
+		go g.pool("p").ReportStatus(func(s frostshift.Standing) { said <- s })
 		return (<-said).Sharers
 	}
 	for _, g := range []*running{a, b, c} {
--- a/internal/gateway/views.go
+++ b/internal/gateway/views.go
@@ -33,7 +33,7 @@
 	ctx, end := context.WithTimeout(ctx, lookWithin)
 	defer end()
 	said := make(chan frostshift.Standing, 1)
-	go p.ex.Standing(func(s frostshift.Standing) { said <- s })
+	go p.ex.ReportStatus(func(s frostshift.Standing) { said <- s })
 	select {
 	case s := <-said:
 		return &s
