--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -208,7 +208,7 @@
 	}
 	if s.Quota != nil {
 		teams, repeats := w.limits(g, s.Pools[i].Name)
-		if cfg.RepeatRight = repeats; cfg.Scheduler != nil {
+		if cfg.RetryShare = repeats; cfg.Scheduler != nil {
 			cfg.Scheduler.SetRights(teams)
 		}
 	}
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -43,8 +43,8 @@
 	// Repeats is the share of requests that may be tried again after an attempt that may
 	// have run; 0: all.
 	Repeats float64
-	// RepeatRight makes that budget a part of the whole fleet's; nil: it is this gateway's own.
-	RepeatRight verdict.Right
+	// RetryShare makes that budget a part of the whole fleet's; nil: it is this gateway's own.
+	RetryShare verdict.Right
 }
 
 // Pool is a set of hosts with a balancer of its own in an event loop of its own. Hosts,
@@ -141,8 +141,8 @@
 		room: c.Room, watch: c.Watch, saw: c.HostSeen, met: c.AttemptEnded, tellOut: c.InFlightChanged, learned: c.Learned, sched: c.Scheduler, fleetShare: c.FleetShare, limiter: c.Limiter, advice: c.Settings.MaxRetryAfter,
 		events: make(chan event, 1024), quit: make(chan struct{}), done: make(chan struct{}),
 		calls: map[frostshift.RequestID]*Call{}, jury: verdict.NewJury(), repeats: verdict.NewBudget(c.Repeats)}
-	if c.RepeatRight != nil {
-		p.repeats.Share(c.RepeatRight)
+	if c.RetryShare != nil {
+		p.repeats.Share(c.RetryShare)
 	}
 	if c.Repeated != nil {
 		p.repeats.Begin(*c.Repeated)
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -112,7 +112,7 @@
 		pc.Scheduler, pc.FleetShare, pc.Limiter = contract.NewScheduler(1), contract.NewFleetShare(g.instances), g.limiter
 		if r := g.rights; r != nil {
 			pc.Scheduler.SetRights(func(t *contract.Terms) contract.Right { return r.team(def.Name, t) })
-			pc.RepeatRight = r.repeats(def.Name)
+			pc.RetryShare = r.repeats(def.Name)
 		}
 	}
 	p.ex, err = g.exchange.NewPool(pc)
