--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -199,22 +199,22 @@
 		Cancel: true, MaxRetryAfter: time.Second, PreferNear: s.PreferNear, CrossPrice: s.CrossPrice, ColdFrom: h.Cold, WarmAfter: h.WarmIn,
 		OverloadFactor: fallFactor, Fall: fallSlots * fallSlot}
 	cfg := exchange.PoolConfig{Name: s.Pools[i].Name, Settings: set, Seed: s.Seed + uint64(g.n*len(s.Pools)+i), Log: slog.New(slog.DiscardHandler),
-		Upstream: p, Met: w.met(g), Repeats: s.Repeats}
+		Upstream: p, AttemptEnded: w.met(g), Repeats: s.Repeats}
 	if g.crowd != nil {
-		cfg.Out = g.crowd.out
+		cfg.InFlightChanged = g.crowd.out
 	}
 	if w.terms != nil {
 		cfg.Scheduler, cfg.FleetShare, cfg.Limiter = contract.NewScheduler(1), contract.NewFleetShare(instances), g.limiter
 	}
 	if s.Quota != nil {
 		teams, repeats := w.limits(g, s.Pools[i].Name)
-		if cfg.RepeatRight = repeats; cfg.Scheduler != nil {
+		if cfg.RetryShare = repeats; cfg.Scheduler != nil {
 			cfg.Scheduler.SetLimitShares(teams)
 		}
 	}
 	if s.Believe {
 		p.belief, p.seen, p.listed = belief.New(belief.Config{}), map[string]belief.Seen{}, map[string]bool{}
-		cfg.Saw = p.saw
+		cfg.HostSeen = p.saw
 	}
 	if k, has := w.kept[keptBy{g.n, i}]; has {
 		cfg.Learned = learning.Aged(k.memory, w.now-k.at)
@@ -234,7 +234,7 @@
 		return
 	}
 	p.inTurn = true
-	next := p.Turn()
+	next := p.RunDue()
 	p.inTurn = false
 	if f := p.w.spec.Fallback; f > 0 && f-1 != p.n { // what it has handed on
 		p.g.pools[f-1].turn()
@@ -285,7 +285,7 @@
 		p.g.listed(w.now, n, hosts)
 	}
 	if p.belief == nil {
-		p.News(frostshift.ListFull, hosts, nil)
+		p.UpdateHosts(frostshift.ListFull, hosts, nil)
 		return
 	}
 	for _, h := range w.hosts[n] {
@@ -316,7 +316,7 @@
 		}
 	}
 	if len(hosts) > 0 {
-		p.News(frostshift.ListChanges, hosts, nil)
+		p.UpdateHosts(frostshift.ListChanges, hosts, nil)
 	}
 }
 
@@ -325,7 +325,7 @@
 	var pools [2]shift.Pool
 	for i, name := range []string{w.spec.Move.From, w.spec.Move.To} {
 		p := g.pools[w.spec.index(name)]
-		p.Look(func(l exchange.Load) {
+		p.ReportLoad(func(l exchange.Load) {
 			pools[i] = shift.Pool{Ready: l.Ready, Capacity: l.Capacity, Open: float64(l.Open), Pace: l.Pace}
 		})
 		p.turn()
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -26,16 +26,16 @@
 	Repeated *float64
 	// Banned are the hosts that operators have taken out.
 	Banned []frostshift.HostID
-	// Saw is told of each attempt that shows whether its host is there: it has answered, or
+	// HostSeen is told of each attempt that shows whether its host is there: it has answered, or
 	// could not be connected to. It is called in the loop; nil: nobody asks.
-	Saw func(id frostshift.HostID, answered bool)
-	// Met is told how each attempt at a host ended and how long it took, as the balancer is; one that had no
+	HostSeen func(id frostshift.HostID, answered bool)
+	// AttemptEnded is told how each attempt at a host ended and how long it took, as the balancer is; one that had no
 	// answer for longer than its class's aim when its request ended is TimedOut here. It is called in
 	// the loop and must not wait; nil: nobody asks.
-	Met func(id frostshift.HostID, class int, result frostshift.Result, took frostshift.Time)
-	// Out is told of each attempt that goes out to a host, 1, and that it is out no more, -1: it has ended, or
+	AttemptEnded func(id frostshift.HostID, class int, result frostshift.Result, took frostshift.Time)
+	// InFlightChanged is told of each attempt that goes out to a host, 1, and that it is out no more, -1: it has ended, or
 	// only the body of its answer is to come. It is called in the loop and must not wait; nil: nobody asks.
-	Out func(id frostshift.HostID, more int)
+	InFlightChanged func(id frostshift.HostID, more int)
 	// Scheduler, FleetShare and Limiter share the pool out among teams; all or none.
 	Scheduler  *contract.Scheduler
 	FleetShare *contract.FleetShare
@@ -43,8 +43,8 @@
 	// Repeats is the share of requests that may be tried again after an attempt that may
 	// have run; 0: all.
 	Repeats float64
-	// RepeatRight makes that budget a part of the whole fleet's; nil: it is this gateway's own.
-	RepeatRight verdict.Right
+	// RetryShare makes that budget a part of the whole fleet's; nil: it is this gateway's own.
+	RetryShare verdict.Right
 }
 
 // Pool is a set of hosts with a balancer of its own in an event loop of its own. Hosts,
@@ -138,11 +138,11 @@
 		return nil, err
 	}
 	p := &Pool{name: c.Name, set: c.Settings, log: c.Log, trouble: eventlog.New(c.Log), clock: x.clock, x: x, b: b, upstream: c.Upstream,
-		room: c.Room, watch: c.Watch, saw: c.Saw, met: c.Met, tellOut: c.Out, learned: c.Learned, sched: c.Scheduler, fleetShare: c.FleetShare, limiter: c.Limiter, advice: c.Settings.MaxRetryAfter,
+		room: c.Room, watch: c.Watch, saw: c.HostSeen, met: c.AttemptEnded, tellOut: c.InFlightChanged, learned: c.Learned, sched: c.Scheduler, fleetShare: c.FleetShare, limiter: c.Limiter, advice: c.Settings.MaxRetryAfter,
 		events: make(chan event, 1024), quit: make(chan struct{}), done: make(chan struct{}),
 		calls: map[frostshift.RequestID]*Call{}, jury: verdict.NewJury(), repeats: verdict.NewBudget(c.Repeats)}
-	if c.RepeatRight != nil {
-		p.repeats.Share(c.RepeatRight)
+	if c.RetryShare != nil {
+		p.repeats.Share(c.RetryShare)
 	}
 	if c.Repeated != nil {
 		p.repeats.Restore(*c.Repeated)
@@ -201,9 +201,9 @@
 	}
 }
 
-// News gives the loop a host list. apply runs first, in the loop: there the upstream
+// UpdateHosts gives the loop a host list. apply runs first, in the loop: there the upstream
 // learns the addresses of hosts before the balancer may name them.
-func (p *Pool) News(kind frostshift.ListKind, hosts []frostshift.Host, apply func()) {
+func (p *Pool) UpdateHosts(kind frostshift.ListKind, hosts []frostshift.Host, apply func()) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		if apply != nil {
 			apply()
@@ -248,9 +248,9 @@
 	}})
 }
 
-// Crowded gives the balancer what other gateways have out at hosts; of those that are not the pool's it takes no
+// PeerLoad gives the balancer what other gateways have out at hosts; of those that are not the pool's it takes no
 // notice.
-func (p *Pool) Crowded(list []frostshift.Crowd) {
+func (p *Pool) PeerLoad(list []frostshift.Crowd) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		for _, k := range list {
 			p.b.Crowded(now, k)
@@ -285,8 +285,8 @@
 	Pace     float64 // requests a second that hosts which are all cold may get from here; 0: not bounded
 }
 
-// Look has the loop say how it stands, to f in the loop; done is closed if it has ended.
-func (p *Pool) Look(f func(Load)) {
+// ReportLoad has the loop say how it stands, to f in the loop; done is closed if it has ended.
+func (p *Pool) ReportLoad(f func(Load)) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		l := Load{Capacity: p.b.Capacity(now), Open: len(p.calls), Pace: p.b.Pace(now)}
 		l.Members, l.Away = p.b.Members(now)
@@ -297,7 +297,7 @@
 	}})
 }
 
-// Standing has the loop say what it goes by, to f in the loop.
-func (p *Pool) Standing(f func(frostshift.Standing)) {
+// ReportStatus has the loop say what it goes by, to f in the loop.
+func (p *Pool) ReportStatus(f func(frostshift.Standing)) {
 	p.post(event{kind: do, run: func(now frostshift.Time) { f(p.b.Standing(now)) }})
 }
--- a/internal/gateway/pool.go
+++ b/internal/gateway/pool.go
@@ -86,10 +86,10 @@
 		pc.Banned = append(pc.Banned, membership.HostID(name))
 	}
 	if g.hostHealth != nil {
-		pc.Met, p.hostHealth = g.hostHealth.met, g.hostHealth
+		pc.AttemptEnded, p.hostHealth = g.hostHealth.met, g.hostHealth
 	}
 	if g.loads != nil {
-		pc.Out = g.loads.out
+		pc.InFlightChanged = g.loads.out
 	}
 	if def.Belief != nil {
 		kc := keeper.Config{Specs: def.Sources, Belief: *def.Belief, Part: def.Part, Log: p.log, List: sink{p}.List, Silence: g.opt.Silence, Every: g.opt.LookEvery}
@@ -98,7 +98,7 @@
 			kc.Show = p.views.show
 		}
 		k := keeper.New(kc)
-		p.list, p.keeper, pc.Saw = k, k, k.Saw
+		p.list, p.keeper, pc.HostSeen = k, k, k.Saw
 	} else {
 		cfg := source.Config{Sink: sink{p}, Log: p.log, Asked: def.Settings.Ask, Silence: g.opt.Silence, Every: g.opt.LookEvery}
 		if def.Known != nil {
@@ -112,7 +112,7 @@
 		pc.Scheduler, pc.FleetShare, pc.Limiter = contract.NewScheduler(1), contract.NewFleetShare(g.instances), g.limiter
 		if r := g.rights; r != nil {
 			pc.Scheduler.SetLimitShares(func(t *contract.Terms) contract.LimitShare { return r.team(def.Name, t) })
-			pc.RepeatRight = r.repeats(def.Name)
+			pc.RetryShare = r.repeats(def.Name)
 		}
 	}
 	p.ex, err = g.exchange.NewPool(pc)
@@ -182,12 +182,12 @@
 	for i := range hosts {
 		hosts[i].Sharers = l.Sharers
 	}
-	s.ex.News(kind, hosts, func() { s.addresses(l) })
+	s.ex.UpdateHosts(kind, hosts, func() { s.addresses(l) })
 	s.first.Do(func() { s.ex.Behind(func() { close(s.ready) }) })
 }
 
 // Lost says that a watch which must be asked for broke.
-func (s sink) Lost() { s.ex.News(frostshift.ListFailed, nil, nil) }
+func (s sink) Lost() { s.ex.UpdateHosts(frostshift.ListFailed, nil, nil) }
 
 // Moved says nothing to the loop: the first list of the new place is a whole one.
 func (s sink) Moved() {}
