--- a/api.go
+++ b/api.go
@@ -116,8 +116,8 @@
 	Until Time    // worth nothing later
 }
 
-// Crowd is how many attempts other instances have out at a host, as far as they say and it is fresh.
-type Crowd struct {
+// PeerLoad is how many attempts other instances have out at a host, as far as they say and it is fresh.
+type PeerLoad struct {
 	Host  HostID
 	Out   float64
 	Until Time // worth nothing later
--- a/balancer.go
+++ b/balancer.go
@@ -346,7 +346,7 @@
 
 // Crowded is news of what others have out at a host. It counts as own pending does where two hosts are
 // compared, but for one request in blindIn: whatever is said, each host keeps that part of its own.
-func (b *Balancer) Crowded(now Time, k Crowd) {
+func (b *Balancer) Crowded(now Time, k PeerLoad) {
 	if h := b.byID[k.Host]; h != nil {
 		h.others, h.othersUntil = k.Out, k.Until
 	}
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -250,7 +250,7 @@
 
 // Crowded gives the balancer what other gateways have out at hosts; of those that are not the pool's it takes no
 // notice.
-func (p *Pool) Crowded(list []frostshift.Crowd) {
+func (p *Pool) Crowded(list []frostshift.PeerLoad) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		for _, k := range list {
 			p.b.Crowded(now, k)
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -75,9 +75,9 @@
 		if len(news) == 0 {
 			continue
 		}
-		list := make([]frostshift.Crowd, len(news))
+		list := make([]frostshift.PeerLoad, len(news))
 		for i, n := range news {
-			list[i] = frostshift.Crowd{Host: frostshift.HostID(n.Host), Out: n.Out, Until: n.Until}
+			list[i] = frostshift.PeerLoad{Host: frostshift.HostID(n.Host), Out: n.Out, Until: n.Until}
 		}
 		for _, p := range c.g.exchanges() {
 			p.Crowded(list)
