--- a/api.go
+++ b/api.go
@@ -118,9 +118,9 @@
 
 // PeerLoad is how many attempts other instances have out at a host, as far as they say and it is fresh.
 type PeerLoad struct {
-	Host  HostID
-	Out   float64
-	Until Time // worth nothing later
+	Host     HostID
+	InFlight float64
+	Until    Time // worth nothing later
 }
 
 // HostState is what the host list says of a host.
--- a/balancer.go
+++ b/balancer.go
@@ -348,7 +348,7 @@
 // compared, but for one request in blindIn: whatever is said, each host keeps that part of its own.
 func (b *Balancer) Crowded(now Time, k PeerLoad) {
 	if h := b.byID[k.Host]; h != nil {
-		h.others, h.othersUntil = k.Out, k.Until
+		h.others, h.othersUntil = k.InFlight, k.Until
 	}
 }
 
--- a/internal/emulator/inflight.go
+++ b/internal/emulator/inflight.go
@@ -89,7 +89,7 @@
 	if len(news) > 0 {
 		list := make([]frostshift.PeerLoad, len(news))
 		for i, n := range news {
-			list[i] = frostshift.PeerLoad{Host: frostshift.HostID(n.Host), Out: n.Out, Until: n.Until}
+			list[i] = frostshift.PeerLoad{Host: frostshift.HostID(n.Host), InFlight: n.Out, Until: n.Until}
 		}
 		for _, p := range c.g.pools {
 			p.Crowded(list)
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -77,7 +77,7 @@
 		}
 		list := make([]frostshift.PeerLoad, len(news))
 		for i, n := range news {
-			list[i] = frostshift.PeerLoad{Host: frostshift.HostID(n.Host), Out: n.Out, Until: n.Until}
+			list[i] = frostshift.PeerLoad{Host: frostshift.HostID(n.Host), InFlight: n.Out, Until: n.Until}
 		}
 		for _, p := range c.g.exchanges() {
 			p.Crowded(list)
