--- a/api.go
+++ b/api.go
@@ -103,7 +103,7 @@
 
 // Fleet is how many instances share the hosts, by what is known now, and where this one stands.
 type Fleet struct {
-	Place       float64 // on a ring of all, from 0 to below 1
+	Position    float64 // on a ring of all, from 0 to below 1
 	Least, Most int     // instances there may be, this one included
 }
 
--- a/balancer.go
+++ b/balancer.go
@@ -112,7 +112,7 @@
 // be size the part that this instance draws from, so that no host is left to nobody; the most
 // there may be divide what cold hosts and tenants may get, so that all together hold it.
 func (b *Balancer) Fleet(now Time, k Fleet) {
-	if b.now = now; k.Least < 1 || k.Most < k.Least || !(k.Place >= 0 && k.Place < 1) || k == b.shared {
+	if b.now = now; k.Least < 1 || k.Most < k.Least || !(k.Position >= 0 && k.Position < 1) || k == b.shared {
 		return
 	}
 	b.shared = k
@@ -160,7 +160,7 @@
 func (b *Balancer) Start(now Time) {
 	b.now = now
 	if b.set.Ask {
-		b.watchIn(Time(float64(b.set.AskWithin) / 4 * b.shared.Place))
+		b.watchIn(Time(float64(b.set.AskWithin) / 4 * b.shared.Position))
 	}
 }
 
--- a/stagger_test.go
+++ b/stagger_test.go
@@ -194,7 +194,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.shared.Place = float64(k) / float64(fleet)
+			b.shared.Position = float64(k) / float64(fleet)
 			_, cycle := math.Modf(b.stagger(&host{place: 1 << 60}))
 			at = append(at, cycle)
 		}
--- a/state.go
+++ b/state.go
@@ -166,7 +166,7 @@
 
 // turn appends the hosts to dst, from this instance's place on.
 func (b *Balancer) turn(dst, part []*host) []*host {
-	first := int(b.shared.Place * float64(len(part)))
+	first := int(b.shared.Position * float64(len(part)))
 	return append(append(dst, part[first:]...), part[:first]...)
 }
 
