--- a/api.go
+++ b/api.go
@@ -103,8 +103,8 @@
 
 // Fleet is how many instances share the hosts, by what is known now, and where this one stands.
 type Fleet struct {
-	Position           float64 // on a ring of all, from 0 to below 1
-	MinInstances, Most int     // instances there may be, this one included
+	Position                   float64 // on a ring of all, from 0 to below 1
+	MinInstances, MaxInstances int     // instances there may be, this one included
 }
 
 // HostHealth is what other instances' outcomes say of a host, as whoever puts them together judges.
