--- a/api.go
+++ b/api.go
@@ -109,11 +109,11 @@
 
 // HostHealth is what other instances' outcomes say of a host, as whoever puts them together judges.
 type HostHealth struct {
-	Host  HostID
-	Doubt float64 // that it is in order, from 0 to 1
-	Down  bool    // several were refused a connection, and nobody was answered since
-	Wait  bool    // others try it, where it is down
-	Until Time    // worth nothing later
+	Host      HostID
+	Suspicion float64 // that it is in order, from 0 to 1
+	Down      bool    // several were refused a connection, and nobody was answered since
+	Wait      bool    // others try it, where it is down
+	Until     Time    // worth nothing later
 }
 
 // PeerLoad is how many attempts other instances have out at a host, as far as they say and it is fresh.
--- a/balancer.go
+++ b/balancer.go
@@ -326,7 +326,7 @@
 	if h == nil {
 		return
 	}
-	h.doubt, h.doubtUntil = min(max(k.Doubt, 0), 1), k.Until
+	h.doubt, h.doubtUntil = min(max(k.Suspicion, 0), 1), k.Until
 	if h.waits && !(k.Down && k.Wait) { // others were answered: all may try, not all at once
 		h.waits, h.ejectUntil = false, min(h.ejectUntil, now+Time(saidAims*float64(b.aim)*b.float()))
 	}
--- a/hosthealth_test.go
+++ b/hosthealth_test.go
@@ -10,7 +10,7 @@
 func TestOthersRefusalsEjectUntilATrial(t *testing.T) {
 	g := start(t, basic(), hosts(4)...)
 	down := func(id HostID) {
-		g.b.HostHealth(g.now, HostHealth{Host: id, Doubt: 1, Down: true, Until: g.now + 3*time.Second})
+		g.b.HostHealth(g.now, HostHealth{Host: id, Suspicion: 1, Down: true, Until: g.now + 3*time.Second})
 	}
 	out := func(id HostID) bool { return g.b.byID[id].fails > 0 }
 	down(1)
@@ -83,7 +83,7 @@
 	g := start(t, basic(), hosts(4)...)
 	g.serve(400, 0, took)
 	hear := func(doubt float64) {
-		g.b.HostHealth(g.now, HostHealth{Host: 1, Doubt: doubt, Until: g.now + time.Hour})
+		g.b.HostHealth(g.now, HostHealth{Host: 1, Suspicion: doubt, Until: g.now + time.Hour})
 	}
 	hear(0.9)
 	if got := g.serve(400, 0, took); got[1] > 40 {
--- a/internal/emulator/hosthealth.go
+++ b/internal/emulator/hosthealth.go
@@ -39,7 +39,7 @@
 		}
 		list := make([]frostshift.HostHealth, len(changed))
 		for i, v := range changed {
-			list[i] = frostshift.HostHealth{Host: frostshift.HostID(v.Host), Doubt: v.Doubt, Down: v.Down, Wait: v.Wait, Until: v.Until}
+			list[i] = frostshift.HostHealth{Host: frostshift.HostID(v.Host), Suspicion: v.Doubt, Down: v.Down, Wait: v.Wait, Until: v.Until}
 		}
 		for _, p := range g.pools {
 			if len(list) > 0 {
--- a/internal/gateway/hosthealth.go
+++ b/internal/gateway/hosthealth.go
@@ -74,7 +74,7 @@
 	}
 	list := make([]frostshift.HostHealth, len(changed))
 	for i, v := range changed {
-		list[i] = frostshift.HostHealth{Host: frostshift.HostID(v.Host), Doubt: v.Doubt, Down: v.Down, Wait: v.Wait, Until: v.Until}
+		list[i] = frostshift.HostHealth{Host: frostshift.HostID(v.Host), Suspicion: v.Doubt, Down: v.Down, Wait: v.Wait, Until: v.Until}
 	}
 	for _, p := range h.g.exchanges() {
 		p.HostHealth(list)
