--- a/api.go
+++ b/api.go
@@ -98,7 +98,7 @@
 	ColdFrom       float64       // share of its capacity a host starts with; 0: 1, hosts start warm
 	WarmAfter      time.Duration // a host is warm this long after its start
 	OverloadFactor float64       // a cold host falls over at this multiple of its present capacity; 0: 2
-	Fall           time.Duration // kept up for this long; 0: 1 s
+	OverloadWindow time.Duration // kept up for this long; 0: 1 s
 }
 
 // Fleet is how many instances share the hosts, by what is known now, and where this one stands.
--- a/balancer.go
+++ b/balancer.go
@@ -97,7 +97,7 @@
 	for _, c := range set.Classes {
 		b.aim, b.longAim = min(b.aim, c.Aim), max(b.longAim, c.Aim)
 	}
-	b.pass, b.admit, b.span, b.sharers = 1, 1, rateFalls*set.Fall.Seconds(), float64(set.Instances)
+	b.pass, b.admit, b.span, b.sharers = 1, 1, rateFalls*set.OverloadWindow.Seconds(), float64(set.Instances)
 	b.shared = Fleet{TypedPlace(set.Rank, set.Instances), set.Instances, set.Instances}
 	for _, t := range set.Tenants {
 		r := t.Quota / float64(set.Instances)
--- a/coldhost.go
+++ b/coldhost.go
@@ -36,9 +36,9 @@
 		h.creditAt, h.staggered = b.now, true
 	}
 	if dt := b.now - h.creditAt; dt > 0 {
-		n, fleet := b.coldRate(h, age)*b.set.Fall.Seconds(), max(1, h.sharers)
+		n, fleet := b.coldRate(h, age)*b.set.OverloadWindow.Seconds(), max(1, h.sharers)
 		lapse := max(n*min(0.5, coldLapse/math.Sqrt(n*fleet)), 1/fleet)
-		h.credit += n * float64(dt) / float64(b.set.Fall)
+		h.credit += n * float64(dt) / float64(b.set.OverloadWindow)
 		if over := h.credit - lapse; over >= 1 {
 			h.credit = lapse + math.Mod(over, 1)
 		}
@@ -54,7 +54,7 @@
 // count of requests of exponential work: the root of twice the mean, or of the mean alone where
 // one instance paces them evenly) under the budget.
 func (b *Balancer) coldRate(h *host, age Time) float64 {
-	fleet, fall := max(1, h.sharers)*max(1, b.twins), b.set.Fall.Seconds()
+	fleet, fall := max(1, h.sharers)*max(1, b.twins), b.set.OverloadWindow.Seconds()
 	share := b.set.ColdFrom + (1-b.set.ColdFrom)*float64(age)/float64(b.set.WarmAfter)
 	capacity := max(b.warmRate()/max(1, b.slower(h)), 1/b.aim.Seconds())
 	c := coldChance * coldChance / 2 * (1 - 1/(2*fleet))
--- a/coldhost_test.go
+++ b/coldhost_test.go
@@ -143,7 +143,7 @@
 		for i := range sends {
 			n := 0
 			for _, at := range sends[i:] {
-				if at < sends[i]+set.Fall {
+				if at < sends[i]+set.OverloadWindow {
 					n++
 				}
 			}
@@ -191,15 +191,15 @@
 		for now := begin; now < begin+idle; now += 50 * ms { // as with requests that go elsewhere
 			held(now)
 		}
-		for now := begin + idle; now < begin+idle+set.Fall; now += 5 * ms { // as much traffic as there may be
+		for now := begin + idle; now < begin+idle+set.OverloadWindow; now += 5 * ms { // as much traffic as there may be
 			for !held(now) {
 				h.credit = min(h.credit-1, 1)
 				sends++
 			}
 		}
 	}
-	age := float64(idle+set.Fall/2) / float64(set.WarmAfter) // in the mean of the window
-	allowed := rate * set.OverloadFactor * (set.ColdFrom + (1-set.ColdFrom)*age) * set.Fall.Seconds()
+	age := float64(idle+set.OverloadWindow/2) / float64(set.WarmAfter) // in the mean of the window
+	allowed := rate * set.OverloadFactor * (set.ColdFrom + (1-set.ColdFrom)*age) * set.OverloadWindow.Seconds()
 	if most := allowed + 2*math.Sqrt(allowed) + 2; float64(sends) > most {
 		t.Errorf("%d instances, %.0f a second, a burst %v behind the start: %d sends in a Fall, %.0f make it fall", fleet, rate, idle, sends, most)
 	}
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -59,7 +59,7 @@
 		Instances: []int{1, 2, 5, 40, 300}[c[0]%5], Zones: 1 + int(c[0]/5%2), Step: Time(1+c[1]%5) * ms, MaxAttempts: 1 + int(c[2]%4),
 		Cancel: c[3]&1 == 0, MaxRetryAfter: time.Second,
 		Ask: c[3]&4 != 0, AskWithin: 4 * time.Second,
-		ColdFrom: 0.2, WarmAfter: 5 * time.Second, OverloadFactor: 2.5, Fall: time.Second,
+		ColdFrom: 0.2, WarmAfter: 5 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
 		OverQuotaWorth: 0.1, Tenants: []Tenant{{Quota: 5}, {}},
 	}
 	for i := range 5 {
@@ -310,15 +310,15 @@
 	h.cold[i] = append(h.cold[i], h.now)
 	n := 0
 	for _, at := range h.cold[i] {
-		if h.now-at < h.set.Fall {
+		if h.now-at < h.set.OverloadWindow {
 			n++
 		}
 	}
 	share := h.set.ColdFrom + (1-h.set.ColdFrom)*age.Seconds()/h.set.WarmAfter.Seconds()
 	// Where nothing is known, a host is taken to serve one request in the shortest aim.
 	rate := max(h.rate, 1/h.set.Classes[0].Aim.Seconds()) / max(1, h.b.byID[host.ID].sharers)
-	if most := 2 + rate*h.set.OverloadFactor*share*h.set.Fall.Seconds(); float64(n) > most {
-		h.Fatalf("%d sends within %v to cold host %d, budget %.1f", n, h.set.Fall, host.ID, most)
+	if most := 2 + rate*h.set.OverloadFactor*share*h.set.OverloadWindow.Seconds(); float64(n) > most {
+		h.Fatalf("%d sends within %v to cold host %d, budget %.1f", n, h.set.OverloadWindow, host.ID, most)
 	}
 }
 
--- a/harness_test.go
+++ b/harness_test.go
@@ -16,7 +16,7 @@
 			{Aim: 400 * ms, Deadline: time.Second, Worth: 2, Effect: Keyed, Group: GroupCell, Window: 600 * ms},
 			{Aim: 400 * ms, Deadline: time.Second, Worth: 5, Effect: Unsafe},
 		},
-		ColdFrom: 0.3, WarmAfter: 9 * time.Second, OverloadFactor: 2.5, Fall: time.Second,
+		ColdFrom: 0.3, WarmAfter: 9 * time.Second, OverloadFactor: 2.5, OverloadWindow: time.Second,
 	}
 }
 
--- a/internal/config/pools.go
+++ b/internal/config/pools.go
@@ -143,7 +143,7 @@
 func (d *doc) poolSettings(key string, in *filePool, instances, rank int) frostshift.Settings {
 	s := frostshift.Settings{Instances: instances, Rank: rank, Zones: len(in.Zones),
 		Step: defaultStep, MaxAttempts: mostAttempts, Cancel: true, MaxRetryAfter: cmp.Or(in.RetryAfter, defaultRetryAfter),
-		ColdFrom: in.ColdFrom, WarmAfter: in.WarmAfter, OverloadFactor: in.OverloadFactor, Fall: in.OverloadTime}
+		ColdFrom: in.ColdFrom, WarmAfter: in.WarmAfter, OverloadFactor: in.OverloadFactor, OverloadWindow: in.OverloadTime}
 	if in.MaxAttempts != nil {
 		s.MaxAttempts = *in.MaxAttempts
 		if n := *in.MaxAttempts; n < 1 || n > mostAttempts {
--- a/internal/emulator/emulator.go
+++ b/internal/emulator/emulator.go
@@ -197,7 +197,7 @@
 	p := &pool{w: w, g: g, n: i}
 	set := frostshift.Settings{Instances: instances, Rank: g.n % instances, Zone: g.zone, Zones: max(s.Zones, 1), Classes: w.classes, Step: time.Millisecond, MaxAttempts: s.MaxAttempts,
 		Cancel: true, MaxRetryAfter: time.Second, PreferNear: s.PreferNear, CrossPrice: s.CrossPrice, ColdFrom: h.Cold, WarmAfter: h.WarmIn,
-		OverloadFactor: fallFactor, Fall: fallSlots * fallSlot}
+		OverloadFactor: fallFactor, OverloadWindow: fallSlots * fallSlot}
 	cfg := exchange.PoolConfig{Name: s.Pools[i].Name, Settings: set, Seed: s.Seed + uint64(g.n*len(s.Pools)+i), Log: slog.New(slog.DiscardHandler),
 		Upstream: p, Met: w.met(g), Repeats: s.Repeats}
 	if g.crowd != nil {
--- a/internal/membership/keeper/part_test.go
+++ b/internal/membership/keeper/part_test.go
@@ -154,7 +154,7 @@
 	)
 	set := frostshift.Settings{Instances: gateways, Step: time.Millisecond, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second,
 		Classes:  []frostshift.Class{{Aim: 400 * time.Millisecond, Deadline: time.Second}},
-		ColdFrom: coldFrom, WarmAfter: warmAfter, OverloadFactor: factor, Fall: fall}
+		ColdFrom: coldFrom, WarmAfter: warmAfter, OverloadFactor: factor, OverloadWindow: fall}
 	all := fleet(hosts + starts)
 	cold := map[frostshift.HostID][]frostshift.Time{}
 	for _, e := range all[hosts:] {
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -74,7 +74,7 @@
 		MaxAttempts: in.Caps.MaxAttempts, Cancel: in.Caps.Cancel, OverQuotaWorth: in.OverShare,
 		Ask: in.Discovery == "subscribe", AskWithin: in.Obligations.AskWithin.span(),
 		ColdFrom: in.Obligations.ColdFrom, WarmAfter: in.Obligations.WarmAfter.span(),
-		OverloadFactor: in.Obligations.OverloadFactor, Fall: in.Obligations.Fall.span(),
+		OverloadFactor: in.Obligations.OverloadFactor, OverloadWindow: in.Obligations.Fall.span(),
 	}
 	if in.Caps.RetryAfter {
 		out.MaxRetryAfter = in.Caps.MaxRetryAfter.span()
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -232,7 +232,7 @@
 		Instances: 4, Rank: 2, Step: 2 * time.Millisecond, Ask: true, AskWithin: 10 * time.Second,
 		OverQuotaWorth: 0.05, Cancel: true,
 		MaxAttempts: 3, MaxRetryAfter: 600 * time.Millisecond,
-		ColdFrom: 0.31, Fall: time.Second, OverloadFactor: 2.5, WarmAfter: 8900 * time.Millisecond,
+		ColdFrom: 0.31, OverloadWindow: time.Second, OverloadFactor: 2.5, WarmAfter: 8900 * time.Millisecond,
 		Tenants: []frostshift.Tenant{{Quota: 104}},
 		Classes: []frostshift.Class{
 			{Aim: 300 * time.Millisecond, Deadline: 1200 * time.Millisecond, Worth: 2,
--- a/settings.go
+++ b/settings.go
@@ -22,7 +22,7 @@
 		name string
 		v    Time
 	}{{"step", set.Step}, {"max retry after", set.MaxRetryAfter}, {"ask within", set.AskWithin},
-		{"warm after", set.WarmAfter}, {"fall", set.Fall}} {
+		{"warm after", set.WarmAfter}, {"fall", set.OverloadWindow}} {
 		if t.v < 0 {
 			return fmt.Errorf("settings: %s is negative", t.name)
 		}
@@ -65,7 +65,7 @@
 	orDefault(&set.AskWithin, 10e9)
 	orDefault(&set.ColdFrom, 1)
 	orDefault(&set.OverloadFactor, 2)
-	orDefault(&set.Fall, 1e9)
+	orDefault(&set.OverloadWindow, 1e9)
 	set.ColdFrom = min(set.ColdFrom, 1)
 	return nil
 }
--- a/settings_test.go
+++ b/settings_test.go
@@ -16,7 +16,7 @@
 		"instances":        func(s *Settings) { s.Instances = 0 },
 		"rank":             func(s *Settings) { s.Rank = 1 },
 		"no classes":       func(s *Settings) { s.Classes = nil },
-		"fall is negative": func(s *Settings) { s.Fall = -1 },
+		"fall is negative": func(s *Settings) { s.OverloadWindow = -1 },
 		"step is negative": func(s *Settings) { s.Step = -1 },
 		"cross price":      func(s *Settings) { s.CrossPrice = math.NaN() },
 		"zone 2":           func(s *Settings) { s.Zone, s.Zones = 2, 2 },
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	s := b.set
-	if s.MaxAttempts != 3 || s.AskWithin != 10*time.Second || s.ColdFrom != 1 || s.Fall != time.Second ||
+	if s.MaxAttempts != 3 || s.AskWithin != 10*time.Second || s.ColdFrom != 1 || s.OverloadWindow != time.Second ||
 		s.Classes[0].Aim != time.Second || s.Classes[0].Worth != 1 {
 		t.Errorf("defaults %+v", s)
 	}
--- a/stagger_test.go
+++ b/stagger_test.go
@@ -97,9 +97,9 @@
 // coldLoads are, for each window of sends, how many there are and how many requests the settings allow in it.
 func coldLoads(set *Settings, rate float64, sends []time.Duration, look func(from time.Duration, n, allowed float64)) {
 	for i, from := range sends {
-		end, _ := slices.BinarySearch(sends, from+set.Fall)
-		share := set.ColdFrom + (1-set.ColdFrom)*min(1, float64(from+set.Fall/2)/float64(set.WarmAfter))
-		look(from, float64(end-i), rate*set.OverloadFactor*share*set.Fall.Seconds())
+		end, _ := slices.BinarySearch(sends, from+set.OverloadWindow)
+		share := set.ColdFrom + (1-set.ColdFrom)*min(1, float64(from+set.OverloadWindow/2)/float64(set.WarmAfter))
+		look(from, float64(end-i), rate*set.OverloadFactor*share*set.OverloadWindow.Seconds())
 	}
 }
 
@@ -109,7 +109,7 @@
 func coldUse(t *testing.T, instances, warm int, rate float64, seed uint64) (closest float64, wrong string) {
 	fleet := coldFleet{instances: instances, warm: warm, rate: rate, length: 4 * time.Second, quiet: 3 * time.Second}
 	sends, b, h := coldSends(t, fleet, rand.New(rand.NewPCG(seed, 1)))
-	fall := b.set.Fall
+	fall := b.set.OverloadWindow
 	coldLoads(&b.set, max(rate, 1/b.aim.Seconds()), sends, func(from time.Duration, n, allowed float64) {
 		if most := allowed + 2*math.Sqrt(allowed) + 2; n > most {
 			wrong = fmt.Sprintf("%v sends from %v on, %.1f make it fall", n, from, most)
