--- a/internal/emulator/inflight.go
+++ b/internal/emulator/inflight.go
@@ -34,7 +34,7 @@
 		c.store.View(w.now, alive)
 		var hosts []inflight.HostID
 		for _, p := range g.pools {
-			p.Standing(func(s frostshift.Standing) {
+			p.Standing(func(s frostshift.Status) {
 				for _, h := range s.Drawn() {
 					hosts = append(hosts, inflight.HostID(h))
 				}
--- a/internal/gateway/gossip_test.go
+++ b/internal/gateway/gossip_test.go
@@ -80,8 +80,8 @@
 		return s
 	}
 	sharers := func(g *running) float64 {
-		said := make(chan frostshift.Standing, 1)
-		go g.pool("p").Standing(func(s frostshift.Standing) { said <- s })
+		said := make(chan frostshift.Status, 1)
+		go g.pool("p").Standing(func(s frostshift.Status) { said <- s })
 		return (<-said).Sharers
 	}
 	for _, g := range []*running{a, b, c} {
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -89,7 +89,7 @@
 // the next turn.
 func (c *loads) draws() {
 	for _, p := range c.g.exchanges() {
-		p.Standing(func(s frostshift.Standing) {
+		p.Standing(func(s frostshift.Status) {
 			var list []inflight.HostID
 			for _, id := range s.Drawn() {
 				list = append(list, inflight.HostID(id))
--- a/internal/gateway/stats.go
+++ b/internal/gateway/stats.go
@@ -198,14 +198,14 @@
 }
 
 // standings asks pools what they go by, all within one lookWithin; those that don't say are left out.
-func standings(pools []*pool) map[string]*frostshift.Standing {
-	said := make([]*frostshift.Standing, len(pools))
+func standings(pools []*pool) map[string]*frostshift.Status {
+	said := make([]*frostshift.Status, len(pools))
 	var all sync.WaitGroup
 	for i, p := range pools {
 		all.Go(func() { said[i] = p.standing(context.Background()) })
 	}
 	all.Wait()
-	list := map[string]*frostshift.Standing{}
+	list := map[string]*frostshift.Status{}
 	for i, p := range pools {
 		if said[i] != nil {
 			list[p.def.Name] = said[i]
--- a/internal/gateway/views.go
+++ b/internal/gateway/views.go
@@ -15,25 +15,25 @@
 type views struct {
 	path     string
 	next     chan keeper.State // holds one
-	standing func(context.Context) *frostshift.Standing
+	standing func(context.Context) *frostshift.Status
 }
 
-func newViews(dir, pool string, standing func(context.Context) *frostshift.Standing) *views {
+func newViews(dir, pool string, standing func(context.Context) *frostshift.Status) *views {
 	return &views{path: keeper.ViewPath(dir, pool), next: make(chan keeper.State, 1), standing: standing}
 }
 
 // View is what the file holds: what is known of hosts, and what the pool makes of it.
 type View struct {
 	keeper.State
-	Standing *frostshift.Standing `json:",omitempty"` // nil: the pool did not say in time
+	Standing *frostshift.Status `json:",omitempty"` // nil: the pool did not say in time
 }
 
 // standing asks the pool what it goes by; nil: it does not say in time.
-func (p *pool) standing(ctx context.Context) *frostshift.Standing {
+func (p *pool) standing(ctx context.Context) *frostshift.Status {
 	ctx, end := context.WithTimeout(ctx, lookWithin)
 	defer end()
-	said := make(chan frostshift.Standing, 1)
-	go p.ex.Standing(func(s frostshift.Standing) { said <- s })
+	said := make(chan frostshift.Status, 1)
+	go p.ex.Standing(func(s frostshift.Status) { said <- s })
 	select {
 	case s := <-said:
 		return &s
--- a/standing.go
+++ b/standing.go
@@ -8,8 +8,8 @@
 
 // What a Balancer goes by, for those on call. Nothing here decides anything.
 
-// Standing is which hosts an instance uses and what it turns away, with the evidence for both.
-type Standing struct {
+// Status is which hosts an instance uses and what it turns away, with the evidence for both.
+type Status struct {
 	Part    int     // hosts that it draws from
 	Reach   int     // ... with those that its own load asks for
 	Sharers float64 // instances that draw from a host
@@ -47,9 +47,9 @@
 )
 
 // Standing is how things stand now.
-func (b *Balancer) Standing(now Time) Standing {
+func (b *Balancer) Standing(now Time) Status {
 	b.now = now
-	s := Standing{Part: min(b.subset, len(b.ring)), Reach: min(b.reach, len(b.ring)), Sharers: b.sharers, Admitted: b.admit, Late: b.lateness(),
+	s := Status{Part: min(b.subset, len(b.ring)), Reach: min(b.reach, len(b.ring)), Sharers: b.sharers, Admitted: b.admit, Late: b.lateness(),
 		Answers: b.late.N, PressedAt: pressAims}
 	if s.Late < calmAims || b.sharers <= shedSharers {
 		s.Admitted = 1 // what stood is over: the next arrival finds so
@@ -89,7 +89,7 @@
 }
 
 // Drawn are the hosts that requests are dealt to, also those that can take none just now.
-func (s *Standing) Drawn() (list []HostID) {
+func (s *Status) Drawn() (list []HostID) {
 	for _, h := range s.Hosts {
 		if h.Use != UseBeyond && h.Use != UseLeaving && h.Use != UseBackup {
 			list = append(list, h.ID)
