--- a/cmd/stilespool/commands_test.go
+++ b/cmd/stilespool/commands_test.go
@@ -49,7 +49,7 @@
 			Entries: []view.Entry{{Endpoint: membership.Endpoint{Name: "rota-1"}}},
 			Doubts:  []belief.Doubt{{Host: membership.Endpoint{Name: "rota-9"}, Why: "not listed for 3s, kept"}}},
 			Standing: &frostshift.Status{Part: 4, Reach: 7, Sharers: 3, Admitted: 0.5, Late: 0.6, Answers: 5, PressedAt: 0.45,
-				Hosts: []frostshift.HostStanding{{ID: membership.HostID("rota-1"), Use: frostshift.UseEjected, Unlike: 0.75, Answers: 3, Out: time.Second}}}}
+				Hosts: []frostshift.HostStatus{{ID: membership.HostID("rota-1"), Use: frostshift.UseEjected, Unlike: 0.75, Answers: 3, Out: time.Second}}}}
 		text, err := json.Marshal(view)
 		if err == nil {
 			err = os.WriteFile(keeper.ViewPath(dir, "rota"), text, 0o600)
--- a/standing.go
+++ b/standing.go
@@ -16,11 +16,11 @@
 	// Admitted is the share of requests that is not refused on arrival, Late how late answers are
 	// held to be, in aims, Answers how many recent ones say so. Below PressedAt nothing is shed.
 	Admitted, Late, Answers, PressedAt float64
-	Hosts                              []HostStanding
+	Hosts                              []HostStatus
 }
 
-// HostStanding is what is held of a host.
-type HostStanding struct {
+// HostStatus is what is held of a host.
+type HostStatus struct {
 	ID  HostID
 	Use Use
 	// Estimate is its time as it counts now, Unlike how far it is believed to differ from the
@@ -62,7 +62,7 @@
 		if h.State == Removed {
 			continue
 		}
-		v := HostStanding{ID: h.ID, Pending: h.pending, Estimate: time.Duration(b.believed(h) * 1e9), Answers: h.slow.N, Out: max(0, h.ejectUntil-now)}
+		v := HostStatus{ID: h.ID, Pending: h.pending, Estimate: time.Duration(b.believed(h) * 1e9), Answers: h.slow.N, Out: max(0, h.ejectUntil-now)}
 		v.Unlike = evidence.Sure(h.slow.Apart(0, b.noise.Deviation(1, easyAnswers), 1), likeUpTo, sureFrom)
 		at := place[h]
 		switch {
