--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -299,5 +299,5 @@
 
 // Standing has the loop say what it goes by, to f in the loop.
 func (p *Pool) Standing(f func(frostshift.Status)) {
-	p.post(event{kind: do, run: func(now frostshift.Time) { f(p.b.Standing(now)) }})
+	p.post(event{kind: do, run: func(now frostshift.Time) { f(p.b.Status(now)) }})
 }
--- a/standing.go
+++ b/standing.go
@@ -46,8 +46,8 @@
 	UseBackup  Use = "backup"
 )
 
-// Standing is how things stand now.
-func (b *Balancer) Standing(now Time) Status {
+// Status is how things stand now.
+func (b *Balancer) Status(now Time) Status {
 	b.now = now
 	s := Status{Part: min(b.subset, len(b.ring)), Reach: min(b.reach, len(b.ring)), Sharers: b.sharers, Admitted: b.admit, Late: b.lateness(),
 		Answers: b.late.N, PressedAt: pressAims}
