--- a/internal/exchange/twin.go
+++ b/internal/exchange/twin.go
@@ -140,7 +140,7 @@
 // started may get. It does not wait for the loop; what was said last holds.
 func (p *Pool) Twins(n int) {
 	p.twins.Store(int32(n))
-	go p.post(event{kind: do, run: func(now frostshift.Time) { p.b.Twins(now, int(p.twins.Load())) }})
+	go p.post(event{kind: do, run: func(now frostshift.Time) { p.b.Processes(now, int(p.twins.Load())) }})
 }
 
 // Fleet says who shares the hosts, and how many gateways at most share what contracts state for
--- a/memory.go
+++ b/memory.go
@@ -166,9 +166,9 @@
 	b.layRing()
 }
 
-// Twins says how many processes are this one instance now: they share its part of what cold
+// Processes says how many processes are this one instance now: they share its part of what cold
 // hosts may get.
-func (b *Balancer) Twins(now Time, n int) {
+func (b *Balancer) Processes(now Time, n int) {
 	b.now = now
 	b.twins = float64(max(1, n))
 }
--- a/memory_test.go
+++ b/memory_test.go
@@ -62,7 +62,7 @@
 			set := basic()
 			g := start(t, set, Host{ID: 1, Started: time.Hour - time.Second})
 			g.b.rng = uint64(i)
-			g.b.Twins(g.now, processes)
+			g.b.Processes(g.now, processes)
 			for range 600 {
 				id := g.request(0, time.Second)
 				for _, a := range g.acts {
