--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -79,7 +79,7 @@
 		b.Outcome(now, e.Outcome)
 	case wire.Withdrawn:
 		b.Gone(now, e.Request.ID)
-	case wire.Ring:
+	case wire.TimerFired:
 		b.Timer(now, e.Token)
 	case wire.Halt:
 		delete(h.balancers, e.Instance)
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -23,7 +23,7 @@
 	Flowing    = 3
 	AttemptEnd = 4
 	Withdrawn  = 5
-	Ring       = 6
+	TimerFired = 6
 	StatusBack = 7
 	FromPeer   = 8
 	Halt       = 9
@@ -184,7 +184,7 @@
 		}
 	case Withdrawn:
 		e.Request.ID = frostshift.RequestID(f.u32())
-	case Ring:
+	case TimerFired:
 		e.Token = f.u64()
 	case StatusBack:
 		f.u16()
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -64,7 +64,7 @@
 		{"attempt end", "04 03000000 c4913a5d 0100 0a124a07 2b23 2e01 44480000 01 01 0000803f",
 			Event{Code: AttemptEnd, Instance: 3, Outcome: frostshift.Outcome{Request: 0x5d3a91c4, Attempt: 1,
 				Result: frostshift.Full, Elapsed: 18500 * time.Microsecond, Closed: true}}},
-		{"ring", "06 03000000 4d00000000000000", Event{Code: Ring, Instance: 3, Token: 77}},
+		{"ring", "06 03000000 4d00000000000000", Event{Code: TimerFired, Instance: 3, Token: 77}},
 		{"withdrawn", "05 05000000 192b6f0e",
 			Event{Code: Withdrawn, Instance: 5, Request: frostshift.Request{ID: 0x0e6f2b19}}},
 		{"flowing", "03 03000000 c4913a5d 0200 0a124a07 2b23 22240000",
@@ -143,7 +143,7 @@
 	ring := unhex(t, "06 03000000 4d00000000000000")
 	for _, unknown := range []string{"63", "63 03000000", "63 03000000 0102030405"} {
 		_, events, err := readAll(frame(2, unhex(t, unknown), ring))
-		if err != nil || len(events) != 2 || events[1].Code != Ring || events[1].Token != 0x4d {
+		if err != nil || len(events) != 2 || events[1].Code != TimerFired || events[1].Token != 0x4d {
 			t.Errorf("record %q: events %+v, error %v, want the next one read", unknown, events, err)
 		}
 	}
