--- a/internal/evidence/evidence.go
+++ b/internal/evidence/evidence.go
@@ -1,10 +1,11 @@
-// Package evidence says what a few samples allow one to hold. A gateway among hundreds sees a
-// host now and then: taken at their word, three answers would rest, shed or prefer where chance
-// alone differs. Each figure here is an estimate together with how much stands behind it, so
-// that whoever decides can ask for both: shrunk toward what is known without it, or in
-// deviations from that.
+// Package evidence estimates statistics from few samples. A gateway among hundreds sees each host
+// only now and then: if three answers were taken at face value, a host would be ejected, requests
+// shed or a host preferred because of chance alone. Each statistic here therefore comes with the
+// weight of its samples, so that the caller can ask for a mean that is shrunk toward a prior, or
+// for the distance from an expected value in standard errors.
 //
-// It knows nothing of hosts, requests or clocks: times are handed in, and the module decides.
+// The package has no notion of hosts or requests and reads no clock: the caller passes the time
+// and makes the decisions.
 package evidence
 
 import (
@@ -12,28 +13,29 @@
 	"time"
 )
 
-// Mean is a mean with the weight of the samples behind it. Weights decay with time, so that
-// what is not renewed is forgotten. The zero value holds nothing.
+// Mean is a mean together with the weight of its samples. Weights decay with time, so that old
+// samples are forgotten. The zero value has no samples. A Mean is not safe for concurrent use.
 type Mean struct {
-	// N is the weight of the samples, Sum that of their values, Sq that of their squares, as
-	// of At.
+	// N is the total weight of the samples, Sum the weighted sum of their values and Sq that of
+	// their squares, all as of At.
 	N, Sum, Sq float64
 	At         time.Duration
 }
 
-// Fade lets what was seen before now weigh less: by e for each span.
-func (m *Mean) Fade(now, span time.Duration) {
+// Fade decays the weight of the samples to now, by a factor of e per timeConstant. A now before
+// At changes nothing.
+func (m *Mean) Fade(now, timeConstant time.Duration) {
 	if d := now - m.At; d > 0 {
-		w := math.Exp(-float64(d) / float64(span))
+		w := math.Exp(-float64(d) / float64(timeConstant))
 		m.N, m.Sum, m.Sq, m.At = m.N*w, m.Sum*w, m.Sq*w, now
 	}
 }
 
-// Add takes in a sample of so much weight. What is held is bounded by most, in weights of one:
-// older samples give way, however fast new ones come.
-func (m *Mean) Add(x, weight, most float64) {
-	if left := max(most-weight, 0); m.N > left {
-		w := left / m.N
+// Add adds the sample x with a weight. The total weight is limited to maxWeight: older samples
+// are scaled down to make room, however fast new ones arrive.
+func (m *Mean) Add(x, weight, maxWeight float64) {
+	if room := max(maxWeight-weight, 0); m.N > room {
+		w := room / m.N
 		m.N, m.Sum, m.Sq = m.N*w, m.Sum*w, m.Sq*w
 	}
 	m.N += weight
@@ -41,16 +43,17 @@
 	m.Sq += weight * x * x
 }
 
-// Toward is the mean, drawn toward what holds without samples: prior, as if strength samples
-// had said so. This is the mean of the posterior where samples and what they are of spread
-// normally, and strength is the variance of one sample over that of what differs.
+// Toward returns the mean shrunk toward prior, as if strength further samples had the value
+// prior. This is the posterior mean when both the samples and the true means are normally
+// distributed and strength is the variance of one sample divided by that of the true means.
 func (m *Mean) Toward(prior, strength float64) float64 {
 	return (m.Sum + strength*prior) / (m.N + strength)
 }
 
-// Apart is by how many standard errors the mean lies above x, below 0 where under it, given the
-// deviation of one sample. It is held back as if strength samples had said x, so that one alone
-// must be extreme to count; without samples it is 0: nothing speaks against x.
+// Apart returns the distance of the mean from x in standard errors, given the standard deviation
+// of one sample; it is negative when the mean is below x. The distance is shrunk as if strength
+// further samples had the value x, so that a single sample must be extreme to count. Without
+// samples, or with a deviation that is not positive, it is 0: there is no evidence against x.
 func (m *Mean) Apart(x, deviation, strength float64) float64 {
 	if m.N <= 0 || !(deviation > 0) {
 		return 0
@@ -58,7 +61,8 @@
 	return (m.Sum - m.N*x) / (math.Sqrt(m.N+strength) * deviation)
 }
 
-// Deviation is that of one sample, drawn toward prior as if strength samples had had it.
+// Deviation returns the standard deviation of one sample, shrunk toward prior as if strength
+// further samples had the deviation prior. Without samples it is prior.
 func (m *Mean) Deviation(prior, strength float64) float64 {
 	if m.N <= 0 {
 		return prior
@@ -67,8 +71,8 @@
 	return math.Sqrt((max(m.Sq-m.N*mean*mean, 0) + strength*prior*prior) / (m.N + strength))
 }
 
-// Sure turns a distance in standard errors into how far it is to be believed: not at all up to
-// from, wholly from to on, in proportion between.
+// Sure converts a distance in standard errors, of either sign, into a confidence: 0 up to from, 1
+// at to and above, and linear in between.
 func Sure(sigmas, from, to float64) float64 {
 	return min(1, max(0, (math.Abs(sigmas)-from)/(to-from)))
 }
