--- a/api.go
+++ b/api.go
@@ -1,25 +1,24 @@
-// Package frostshift makes the decisions of an HTTP load balancer that runs as
-// a small fleet of proxies: where each request goes, when it is tried again,
-// when it is turned away.
+// Package frostshift implements the decision logic of an HTTP load balancer that runs as a
+// small fleet of proxies: which host each request is sent to, when it is retried, and when it
+// is refused.
 //
-// A [Balancer] is a state machine without I/O. The gateway that embeds it
-// reports what happens (a request arrives, an attempt ends, a timer rings, the
-// host list changes) by calling one method per event, each with the current
-// time, and then carries out the [Action] values it collects with
-// [Balancer.Drain]. The balancer starts no goroutine, reads no clock and does
-// no I/O; the same events and seed always lead to the same actions.
+// A [Balancer] is a state machine that performs no I/O. The gateway that embeds it reports
+// what happens (a request arrives, an attempt ends, a timer fires, the host list changes) by
+// calling one method per event, each with the current time, and then carries out the [Action]
+// values that it collects with [Balancer.Drain]. The balancer starts no goroutine and reads no
+// clock; the same events and seed always lead to the same actions.
 //
-// The balancer keeps no slice that it is given, and what Drain appends belongs to
-// the caller; in steady state neither side allocates. A balancer keeps a request
-// until it has its answer and all its attempts have ended, and a removed host until
-// its last attempt has. To start again after a restart, pass the host list saved
-// last as ListSaved right after Start.
+// The balancer retains no slice that is passed to it, and what Drain appends belongs to the
+// caller; in steady state neither side allocates. A balancer keeps the state of a request until
+// the request has its answer and all its attempts have ended, and that of a removed host until
+// its last attempt has ended. After a restart, pass the host list that was saved last as
+// ListSaved right after Start.
 //
-// A Balancer is not safe for concurrent use. A gateway with several threads
-// runs one Balancer in one event loop, or one Balancer a thread with Instances
-// raised accordingly.
+// A Balancer is not safe for concurrent use. A gateway with several threads runs either one
+// Balancer in one event loop, or one Balancer per thread with Instances raised accordingly.
 //
-// This file is the whole interface; every decision is in balancer.go.
+// This file declares the types of the interface except for [Memory] and [Status]; the decision
+// logic is in balancer.go, coldhost.go and state.go.
 package frostshift
 
 import (
@@ -31,24 +30,24 @@
 // an arbitrary start. It must never go backward.
 type Time = time.Duration
 
-// HostID names a host. The balancer compares IDs and reads nothing into them.
+// HostID identifies a host. The balancer only compares IDs and does not interpret them.
 type HostID uint64
 
-// RequestID names a client request, below 1<<56. An ID must not be used again
-// while the gateway still holds a request or an attempt under it.
+// RequestID identifies a client request and is below 1<<56. An ID must not be reused while the
+// gateway still has a request or an attempt under it.
 type RequestID uint64
 
-// Effect says what a repeat of a request may do.
+// Effect says whether a request may be executed more than once.
 type Effect uint8
 
 // Effects of a class.
 const (
 	Safe   Effect = iota // may run any number of times
-	Keyed                // hosts of one Group drop repeats for a Window
+	Keyed                // the hosts of one Group deduplicate repeats within Window
 	Unsafe               // must never run twice
 )
 
-// Group says which hosts drop the repeats of a keyed request.
+// Group says which hosts share the deduplication of keyed requests.
 type Group uint8
 
 // Groups of a keyed class.
@@ -60,77 +59,80 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Aim      time.Duration // an answer within it earns the full worth
-	Deadline time.Duration // how long a client waits in all
-	Worth    float64       // worth of an answer; 0 counts as 1
+	Aim      time.Duration // latency target: an answer within it earns the full worth; 0: Deadline
+	Deadline time.Duration // longest time that a client waits for its answer
+	Worth    float64       // value of an answer, a weight; 0 means 1
 	Effect   Effect
-	Group    Group         // for Keyed
-	Window   time.Duration // for Keyed: counted from the first attempt that may have run
+	Group    Group         // used with Keyed
+	Window   time.Duration // used with Keyed: counted from the first attempt that may have run
 }
 
-// Tenant describes one customer. Quota is its requests a second over all
+// Tenant describes one customer. Quota is its limit in requests per second over all
 // instances; 0 means no quota.
 type Tenant struct {
 	Quota float64
 }
 
-// Settings is what a Balancer knows of its deployment. The zero value of an
-// optional field gives the default named beside it.
+// Settings describes the deployment of a Balancer. A zero value in an optional field selects
+// the default named in the comment of that field.
 type Settings struct {
-	Instances int // balancers in the fleet, this one included; at least 1
-	Rank      int // this one's number, from 0
-	Zone      int // the zone this one stands in
-	Zones     int // zones that instances stand in; 0: 1
+	Instances int // number of balancers in the fleet, including this one; at least 1
+	Rank      int // number of this instance, from 0 to Instances-1
+	Zone      int // zone of this instance, from 0
+	Zones     int // number of zones that contain instances; 0 means 1
 	Classes   []Class
 	Tenants   []Tenant      // optional
-	Step      time.Duration // events are handled at most this often; optional
+	Step      time.Duration // shortest time between two rounds of event handling; optional
 
-	MaxAttempts    int           // attempts a request may have, one at a time; 0: 3
+	MaxAttempts    int           // attempts that a request may have, one at a time; 0 means 3
 	Cancel         bool          // Cancel actions are allowed
-	MaxRetryAfter  time.Duration // longest advice a client heeds; 0: advise nothing
-	OverQuotaWorth float64       // worth of a request beyond its tenant's quota, as a share
-	PreferNear     bool          // a near host is always among those that are weighed
-	CrossPrice     float64       // worth lost by an attempt at a host of another zone, as a share of a request's
-
-	Ask       bool          // the host list must be asked for (Watch), it is not pushed
-	AskWithin time.Duration // longest time without a watch or a question; 0: 10 s
-
-	ColdFrom       float64       // share of its capacity a host starts with; 0: 1, hosts start warm
-	WarmAfter      time.Duration // a host is warm this long after its start
-	OverloadFactor float64       // a cold host falls over at this multiple of its present capacity; 0: 2
-	OverloadWindow time.Duration // kept up for this long; 0: 1 s
+	MaxRetryAfter  time.Duration // longest retry delay that clients honor; 0: none is advised
+	OverQuotaWorth float64       // factor on the worth of a request beyond its tenant's quota
+	PreferNear     bool          // the candidates of a selection always include a host of this zone
+	CrossPrice     float64       // fraction of a request's worth that an attempt in another zone costs
+
+	Ask       bool          // the host list must be requested (Watch); otherwise it is pushed
+	AskWithin time.Duration // longest time without a watch or a request for the list; 0 means 10 s
+
+	ColdFrom       float64       // share of its capacity that a host starts with; 0 means 1: hosts start warm
+	WarmAfter      time.Duration // time from its start after which a host is warm
+	OverloadFactor float64       // load, as a multiple of its present capacity, that overloads a cold host; 0 means 2
+	OverloadWindow time.Duration // time that such a load must last to overload the host; 0 means 1 s
 }
 
-// Fleet is how many instances share the hosts, by what is known now, and where this one stands.
+// Fleet reports how many instances share the hosts, as far as is known now, and the position of
+// this instance among them.
 type Fleet struct {
-	Position                   float64 // on a ring of all, from 0 to below 1
-	MinInstances, MaxInstances int     // instances there may be, this one included
+	Position                   float64 // on the ring of all instances, from 0 to below 1
+	MinInstances, MaxInstances int     // bounds of the number of instances, including this one
 }
 
-// HostHealth is what other instances' outcomes say of a host, as whoever puts them together judges.
+// HostHealth is the state of a host as derived by the caller from the outcomes that peers
+// report.
 type HostHealth struct {
 	Host      HostID
-	Suspicion float64 // that it is in order, from 0 to 1
-	Down      bool    // several were refused a connection, and nobody was answered since
-	Wait      bool    // others try it, where it is down
-	Until     Time    // worth nothing later
+	Suspicion float64 // that the host is unhealthy, from 0 (none) to 1 (certain)
+	Down      bool    // several peers had a connection refused, and none has been answered since
+	Wait      bool    // with Down: peers probe the host, so this instance should wait
+	Until     Time    // the report expires then
 }
 
-// PeerLoad is how many attempts other instances have out at a host, as far as they say and it is fresh.
+// PeerLoad is the number of attempts that other instances have in flight at a host, as far as
+// they report it.
 type PeerLoad struct {
 	Host     HostID
 	InFlight float64
-	Until    Time // worth nothing later
+	Until    Time // the report expires then
 }
 
-// HostState is what the host list says of a host.
+// HostState is the state of a host in the host list.
 type HostState uint8
 
-// Listed states.
+// States of a listed host.
 const (
 	Ready    HostState = iota // takes requests
-	Draining                  // finishes its work, gets nothing new
-	Removed                   // gone; only among changes
+	Draining                  // finishes its work and gets no new requests
+	Removed                   // no longer exists; only used in ListChanges
 )
 
 // Host is an entry of the host list.
@@ -138,54 +140,56 @@
 	ID      HostID
 	Zone    int
 	Cell    int
-	Kind    int // machines of one kind are of like size
+	Kind    int // machine type: hosts of one kind have similar capacity
 	State   HostState
-	Started Time // when it last started; 0: long ago
-	Backup  bool // takes requests only where no other host can
-	// Weight is its share of the draw beside others, and how much it can hold beside them; 0:
-	// 1. Weights are wishes: estimates decide between the two that are drawn.
+	Started Time // when it last started; 0 means long ago
+	Backup  bool // takes requests only when no other host can
+	// Weight is the relative probability that the host is selected as a candidate, and its
+	// relative capacity; 0 means 1. Weights are only hints: the estimated latencies decide
+	// between the two candidates of a selection.
 	Weight float64
-	// Sharers is how many instances use the host, where the list is this instance's part
-	// of a longer one; 0: the list is the whole, and the balancer chooses a part by itself.
+	// Sharers is the number of instances that use the host when the list is this instance's
+	// subset of a longer list; 0 means that the list is complete and that the balancer chooses
+	// a subset itself.
 	Sharers int
 }
 
-// ListKind says how a host list is to be read.
+// ListKind says how to interpret a host list.
 type ListKind uint8
 
 // Kinds of list.
 const (
-	ListFull    ListKind = iota // the whole list; hosts not on it are gone
-	ListChanges                 // only entries that changed
-	ListSaved                   // the whole list as saved earlier, maybe stale
-	ListFailed                  // a question failed or a watch broke; no entries
+	ListFull    ListKind = iota // the complete list; hosts that are not on it no longer exist
+	ListChanges                 // only the entries that changed
+	ListSaved                   // the complete list as saved earlier, possibly stale
+	ListFailed                  // a request for the list failed or a watch broke; no entries
 )
 
-// Request is a client's request that now awaits one final answer.
+// Request is a client's request that awaits one final answer.
 type Request struct {
 	ID     RequestID
 	Class  int           // index in Settings.Classes
 	Tenant int           // index in Settings.Tenants
-	Left   time.Duration // until the client gives up on this try; 0: it is due now
-	Repeat bool          // the client marks it as a repeat
-	Spent  int           // attempts it has had at another fleet of hosts, none of which ran
+	Left   time.Duration // time until the client gives up on this request; 0: its deadline is now
+	Repeat bool          // the client marks it as a retry of its own
+	Spent  int           // attempts already made at another fleet of hosts, none of which ran
 }
 
 // Result says how an attempt ended.
 type Result uint8
 
-// Results. Those marked so prove that the attempt never ran; after any other
-// it may have.
+// Results. Those marked so prove that the host never executed the attempt; after any other
+// result it may have.
 const (
 	OK            Result = iota
 	Failed               // the host answered with an error
-	Full                 // turned away unseen (proves it never ran)
+	Full                 // the host refused it without processing it (proves it never ran)
 	TimedOut             // no answer in time
 	ConnectFailed        // no connection (proves it never ran)
 	Reset                // the connection broke
-	Canceled             // called off by a Cancel action
+	Canceled             // canceled by a Cancel action
 	NotSent              // the gateway did not send it (proves it never ran)
-	Busy                 // the host answered that it has too much to do; it may have run
+	Busy                 // the host answered that it is overloaded; the attempt may have run
 )
 
 // Outcome is the end of one attempt. Each Send has exactly one.
@@ -194,22 +198,22 @@
 	Attempt int // attempts of a request count from 0 in the order of their Send
 	Result  Result
 	Elapsed time.Duration // since the Send
-	After   time.Duration // when the host wants to be asked again, where it says so; 0: no hint
-	Closed  bool          // the client has its answer, nothing more is owed
+	After   time.Duration // retry delay that the host asks for; 0 means that it names none
+	Closed  bool          // the client has its final answer, so the request is complete
 }
 
-// ActionKind says what the gateway is asked to do.
+// ActionKind says what the gateway must do.
 type ActionKind uint8
 
 // Kinds of action.
 const (
-	Send   ActionKind = iota // start an attempt of Request at Host, give it up at At (0: at the client's deadline)
-	Cancel                   // call off Attempt of Request
-	Refuse                   // final answer: turned away, trying again is harmless; After is advice (0: none)
-	Fail                     // final answer: an error that promises nothing
+	Send   ActionKind = iota // start an attempt of Request at Host and time out at At (0: at the client's deadline)
+	Cancel                   // cancel Attempt of Request
+	Refuse                   // final answer: refused, a retry is harmless; After is the advised delay (0: none)
+	Fail                     // final answer: an error that does not say whether the request ran
 	Wake                     // call Timer with Token at At or soon after
 	Watch                    // ask discovery for changes from now on
-	Log                      // a line for those on call
+	Log                      // a log line, in Text, for operators
 )
 
 var (
@@ -217,10 +221,10 @@
 	actionNames = [...]string{"Send", "Cancel", "Refuse", "Fail", "Wake", "Watch", "Log"}
 )
 
-// String names the result, for logs.
+// String returns the name of the result, for logs.
 func (r Result) String() string { return nameOf(resultNames[:], int(r)) }
 
-// String names the kind, for logs.
+// String returns the name of the kind, for logs.
 func (k ActionKind) String() string { return nameOf(actionNames[:], int(k)) }
 
 func nameOf(names []string, i int) string {
@@ -230,8 +234,8 @@
 	return strconv.Itoa(i)
 }
 
-// Action is one thing for the gateway to do. Only the fields named at its kind
-// mean anything.
+// Action is one operation that the gateway must carry out. Only the fields named in the
+// comment of its kind are set.
 type Action struct {
 	Kind    ActionKind
 	Request RequestID
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,6 +1,7 @@
-// Command simhost hosts many balancers for the simulator: it reads batches of
+// Command simhost runs many balancers for the simulator: it reads batches of
 // events on standard input and answers each with the balancers' actions on
-// standard output. Nothing else is written there.
+// standard output. Nothing else is written to standard output. A malformed
+// batch ends the program with an error on standard error and exit code 1.
 package main
 
 import (
@@ -14,16 +15,17 @@
 )
 
 func main() {
-	debug.SetGCPercent(800) // a small heap: collect seldom
+	debug.SetGCPercent(800) // the heap is small, so collect less often
 	if err := run(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintf(os.Stderr, "simhost: %v\n", err)
 		os.Exit(1)
 	}
 }
 
-// run serves batches until the input ends.
+// run serves batches until the input ends. It returns an error for a malformed batch or when the
+// reply cannot be written.
 func run(in io.Reader, out io.Writer) error {
-	h := host{balancers: map[uint32]*frostshift.Balancer{}, out: wire.NewWriter(out)}
+	s := balancerSet{balancers: map[uint32]*frostshift.Balancer{}, out: wire.NewWriter(out)}
 	r := wire.NewReader(in)
 	for n := 1; ; n++ {
 		now, err := r.Batch()
@@ -33,38 +35,39 @@
 		for more := err == nil; more; {
 			var e wire.Event
 			if more, err = r.Next(&e); more {
-				h.handle(now, &e)
+				s.handle(now, &e)
 			}
 		}
 		if err != nil {
 			return fmt.Errorf("batch %d: %w", n, err)
 		}
-		if err := h.out.Flush(); err != nil {
+		if err := s.out.Flush(); err != nil {
 			return fmt.Errorf("batch %d: reply: %w", n, err)
 		}
 	}
 }
 
-// host holds the balancers by instance number. They share nothing.
-type host struct {
+// balancerSet contains the balancers by instance number. They share no state.
+type balancerSet struct {
 	balancers map[uint32]*frostshift.Balancer
 	out       *wire.Writer
-	acts      []frostshift.Action
+	actions   []frostshift.Action // reused for every event
 }
 
-// handle gives one event to its balancer and collects the actions. An instance
-// that cannot go on is reported and then left alone.
-func (h *host) handle(now frostshift.Time, e *wire.Event) {
+// handle passes one event to its balancer and adds the resulting actions to the
+// reply. A balancer that panics is reported as crashed and removed; events for
+// an instance that is not running are ignored.
+func (s *balancerSet) handle(now frostshift.Time, e *wire.Event) {
 	defer func() {
 		if p := recover(); p != nil {
-			delete(h.balancers, e.Instance)
-			h.out.Crash(e.Instance, fmt.Sprintf("%v\n%s", p, debug.Stack()))
+			delete(s.balancers, e.Instance)
+			s.out.Crash(e.Instance, fmt.Sprintf("%v\n%s", p, debug.Stack()))
 		}
 	}()
 	if e.Code == wire.Hello {
-		h.start(now, e)
+		s.start(now, e)
 	}
-	b := h.balancers[e.Instance]
+	b := s.balancers[e.Instance]
 	if b == nil {
 		return
 	}
@@ -82,27 +85,29 @@
 	case wire.TimerFired:
 		b.Timer(now, e.Token)
 	case wire.Halt:
-		delete(h.balancers, e.Instance)
+		delete(s.balancers, e.Instance)
 		return
 	}
-	h.acts = b.Drain(h.acts[:0])
-	for i := range h.acts {
-		h.out.Action(e.Instance, &h.acts[i])
+	s.actions = b.Drain(s.actions[:0])
+	for i := range s.actions {
+		s.out.Action(e.Instance, &s.actions[i])
 	}
 }
 
-func (h *host) start(now frostshift.Time, e *wire.Event) {
-	delete(h.balancers, e.Instance)
+// start creates the balancer of a Hello, in place of one that runs under the same number. Invalid
+// settings are reported as a crash of the instance.
+func (s *balancerSet) start(now frostshift.Time, e *wire.Event) {
+	delete(s.balancers, e.Instance)
 	set, err := wire.ParseSettings(e.Settings)
 	if err != nil {
-		h.out.Crash(e.Instance, err.Error())
+		s.out.Crash(e.Instance, err.Error())
 		return
 	}
 	b, err := frostshift.New(set, e.Seed)
 	if err != nil {
-		h.out.Crash(e.Instance, err.Error())
+		s.out.Crash(e.Instance, err.Error())
 		return
 	}
 	b.Start(now)
-	h.balancers[e.Instance] = b
+	s.balancers[e.Instance] = b
 }
--- a/cmd/simhost/main_test.go
+++ b/cmd/simhost/main_test.go
@@ -34,13 +34,13 @@
 	return append(le32(uint32(len(b))), b...)
 }
 
-func hello(inst uint32, env string) []byte {
-	return record(0, le32(inst, 1, 0, uint32(len(env))), []byte(env))
+func hello(inst uint32, settings string) []byte {
+	return record(0, le32(inst, 1, 0, uint32(len(settings))), []byte(settings))
 }
 
 var addr = []byte{10, 0, 0, 1, 0x28, 0x23}
 
-func members(inst uint32) []byte {
+func hostList(inst uint32) []byte {
 	return record(1, le32(inst), []byte{3}, make([]byte, 8), le32(1),
 		make([]byte, 8), []byte{0}, addr, make([]byte, 4), []byte{3}, make([]byte, 4))
 }
@@ -67,13 +67,13 @@
 		data = data[5+n:]
 	}
 	if len(data) != 0 {
-		t.Fatalf("%d bytes behind the reply's records", len(data))
+		t.Fatalf("%d bytes after the reply's records", len(data))
 	}
 	return codes, bodies
 }
 
-// begin runs the adapter on pipes.
-func begin(t *testing.T) (in *io.PipeWriter, out *io.PipeReader, done chan error) {
+// startAdapter runs the adapter on pipes; done receives its result.
+func startAdapter(t *testing.T) (in *io.PipeWriter, out *io.PipeReader, done chan error) {
 	inR, inW := io.Pipe()
 	outR, outW := io.Pipe()
 	done = make(chan error, 1)
@@ -87,12 +87,12 @@
 }
 
 func TestServesOverPipes(t *testing.T) {
-	in, out, done := begin(t)
+	in, out, done := startAdapter(t)
 	in.Write(batch(1000))
 	if codes, _ := reply(t, out); len(codes) != 0 {
-		t.Errorf("empty batch answered with %v", codes)
+		t.Errorf("empty batch is answered with the actions %v", codes)
 	}
-	in.Write(batch(2000, hello(3, settings), members(3), request(3, 77)))
+	in.Write(batch(2000, hello(3, settings), hostList(3), request(3, 77)))
 	codes, bodies := reply(t, out)
 	i := bytes.IndexByte(codes, 64)
 	if i < 0 || !bytes.Equal(bodies[i][:14], append(le32(3, 77), addr...)) {
@@ -101,7 +101,7 @@
 	ended := record(4, le32(3, 77), []byte{0, 0}, addr, []byte{100, 0}, le32(500), []byte{1, 0})
 	in.Write(batch(3000, ended, request(9, 78))) // 9 was never started
 	if codes, _ := reply(t, out); len(codes) != 0 {
-		t.Errorf("actions %v after the end", codes)
+		t.Errorf("actions %v after the attempt ended", codes)
 	}
 	in.Write(batch(4000, record(9, le32(3)), request(3, 79)))
 	if codes, _ := reply(t, out); len(codes) != 0 {
@@ -114,8 +114,8 @@
 }
 
 func TestBadSettingsCrashOneInstance(t *testing.T) {
-	in, out, done := begin(t)
-	in.Write(batch(1, hello(1, `{"balancers": 1}`), hello(2, `nonsense`), hello(3, settings), members(3),
+	in, out, done := startAdapter(t)
+	in.Write(batch(1, hello(1, `{"balancers": 1}`), hello(2, `nonsense`), hello(3, settings), hostList(3),
 		request(1, 5), request(3, 6)))
 	codes, bodies := reply(t, out)
 	var crashed []string
@@ -135,16 +135,16 @@
 	}
 }
 
-// Instances share nothing: two in one process act as each would alone.
+// Instances share no state: two in one process take the same actions as each would alone.
 func TestInstancesShareNothing(t *testing.T) {
-	play := func(insts ...uint32) map[uint32]string {
-		in, out, done := begin(t)
+	runInstances := func(insts ...uint32) map[uint32]string {
+		in, out, done := startAdapter(t)
 		got := map[uint32]string{}
 		for step := range uint64(40) {
 			var recs [][]byte
 			for _, i := range insts {
 				if step == 0 {
-					recs = append(recs, hello(i, settings), members(i))
+					recs = append(recs, hello(i, settings), hostList(i))
 				}
 				recs = append(recs, request(i, uint32(step)))
 			}
@@ -159,10 +159,10 @@
 		<-done
 		return got
 	}
-	both := play(1, 2)
+	both := runInstances(1, 2)
 	for _, i := range []uint32{1, 2} {
-		if alone := play(i)[i]; alone != both[i] || alone == "" {
-			t.Errorf("instance %d acts differently in company", i)
+		if alone := runInstances(i)[i]; alone != both[i] || alone == "" {
+			t.Errorf("instance %d acts differently when another one runs in the same process", i)
 		}
 	}
 }
@@ -192,7 +192,7 @@
 		timer.Stop()
 		text := stderr.String()
 		if cmd.ProcessState.ExitCode() != tt.code || !strings.Contains(text, tt.want) || strings.Count(text, "\n") > 1 {
-			t.Errorf("%s: exit %d, said %q, want %d and %q", tt.name, cmd.ProcessState.ExitCode(), text, tt.code, tt.want)
+			t.Errorf("%s: exit code %d with stderr %q, want %d and %q", tt.name, cmd.ProcessState.ExitCode(), text, tt.code, tt.want)
 		}
 	}
 }
--- a/internal/wire/settings.go
+++ b/internal/wire/settings.go
@@ -8,8 +8,8 @@
 	"frostshift"
 )
 
-// settings is the part of the settings object that the balancer acts on;
-// unknown keys are ignored and absent ones are zero.
+// settings contains the keys of the simulator's settings object that the balancer
+// uses; unknown keys are ignored and absent ones are zero.
 type settings struct {
 	Balancers int
 	Rank      int
@@ -47,10 +47,10 @@
 	}
 }
 
-// micros is a span of time in microseconds, whole or not.
+// micros is a duration in microseconds, possibly with a fraction.
 type micros float64
 
-func (m micros) span() time.Duration { return time.Duration(float64(m) * float64(unit)) }
+func (m micros) duration() time.Duration { return time.Duration(float64(m) * float64(unit)) }
 
 var effects = map[string]frostshift.Effect{
 	"idempotent": frostshift.Safe, "deduplicated": frostshift.Keyed, "at_most_once": frostshift.Unsafe,
@@ -61,7 +61,8 @@
 	"zone": frostshift.GroupZone, "cell": frostshift.GroupCell,
 }
 
-// ParseSettings reads the settings object of a Hello.
+// ParseSettings parses the JSON settings object of a Hello. It returns an error for invalid JSON
+// and for an unknown effect or group; frostshift.New checks the values.
 func ParseSettings(text []byte) (frostshift.Settings, error) {
 	var in settings
 	var out frostshift.Settings
@@ -69,15 +70,15 @@
 		return out, fmt.Errorf("settings: %w", err)
 	}
 	out = frostshift.Settings{
-		Instances: in.Balancers, Rank: in.Rank, Step: in.Step.span(),
+		Instances: in.Balancers, Rank: in.Rank, Step: in.Step.duration(),
 		Zone: in.Zone, Zones: len(in.Azs), CrossPrice: in.Prices.CrossZone,
 		MaxAttempts: in.Caps.MaxAttempts, Cancel: in.Caps.Cancel, OverQuotaWorth: in.OverShare,
-		Ask: in.Discovery == "subscribe", AskWithin: in.Obligations.AskWithin.span(),
-		ColdFrom: in.Obligations.ColdFrom, WarmAfter: in.Obligations.WarmAfter.span(),
-		OverloadFactor: in.Obligations.OverloadFactor, OverloadWindow: in.Obligations.Fall.span(),
+		Ask: in.Discovery == "subscribe", AskWithin: in.Obligations.AskWithin.duration(),
+		ColdFrom: in.Obligations.ColdFrom, WarmAfter: in.Obligations.WarmAfter.duration(),
+		OverloadFactor: in.Obligations.OverloadFactor, OverloadWindow: in.Obligations.Fall.duration(),
 	}
 	if in.Caps.RetryAfter {
-		out.MaxRetryAfter = in.Caps.MaxRetryAfter.span()
+		out.MaxRetryAfter = in.Caps.MaxRetryAfter.duration()
 	}
 	for i, c := range in.Classes {
 		effect, ok := effects[c.Effect]
@@ -89,8 +90,8 @@
 			return out, fmt.Errorf("settings: class %d: unknown group %q", i, c.Group)
 		}
 		out.Classes = append(out.Classes, frostshift.Class{
-			Aim: c.Promise.span(), Deadline: c.HardLimit.span(), Worth: c.Importance,
-			Effect: effect, Group: group, Window: c.Window.span(),
+			Aim: c.Promise.duration(), Deadline: c.HardLimit.duration(), Worth: c.Importance,
+			Effect: effect, Group: group, Window: c.Window.duration(),
 		})
 	}
 	for _, t := range in.Tenants {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,8 @@
 // Package wire translates between the simulator's binary frames and the
-// events and actions of package frostshift. It decides nothing.
+// events and actions of package frostshift. It contains no decision logic.
+//
+// A frame is a length of four bytes and a batch: a clock, the number of
+// records, and the records. All numbers are little-endian.
 package wire
 
 import (
@@ -15,7 +18,7 @@
 	"frostshift"
 )
 
-// Codes of events.
+// Codes of events, from the simulator to the balancers.
 const (
 	Hello      = 0
 	PeersKnown = 1
@@ -29,36 +32,36 @@
 	Halt       = 9
 )
 
-// Codes of actions.
+// Codes of actions, from the balancers to the simulator.
 const (
-	callOut  = 64
-	busy     = 65
-	fail     = 66
-	withdraw = 67
-	wakeAt   = 68
-	writeLog = 72
-	crash    = 73
-	tail     = 74
+	recordSend   = 64
+	recordRefuse = 65
+	recordFail   = 66
+	recordCancel = 67
+	recordWake   = 68
+	recordLog    = 72
+	recordCrash  = 73
+	recordWatch  = 74
 )
 
 const (
-	batchHeader  = 12 // bytes of a batch's header behind its length
-	recordHeader = 5
-	entrySize    = 24
-	maxFrame     = 1 << 30
-	maxText      = 1 << 10
+	batchHeader  = 12      // bytes of the batch header (clock and record count) after the frame length
+	recordHeader = 5       // bytes of a record's code and size
+	entrySize    = 24      // bytes of a host list entry
+	maxFrame     = 1 << 30 // bytes
+	maxText      = 1 << 10 // bytes; longer texts are cut
 )
 
 // unit is the unit of all times on the wire.
 const unit = time.Microsecond
 
-// flagRepeat is the bit of a request's flags that marks a client's repeat.
+// flagRepeat is the bit of a request's flags that marks a client's retry.
 const flagRepeat = 2
 
-// Event is one decoded record. Only the fields of its code are set.
+// Event is one decoded record. Besides Code and Instance, only the fields of its code are set.
 type Event struct {
 	Code     byte
-	Instance uint32
+	Instance uint32 // number of the balancer that the event is for
 
 	Seed     uint64 // Hello
 	Settings []byte // Hello; valid until the next batch
@@ -76,19 +79,19 @@
 type Reader struct {
 	in    *bufio.Reader
 	frame bytes.Buffer
-	data  []byte // the frame behind its length field
-	pos   int    // of the next record in data
-	left  uint32 // records still to come
-	hosts []frostshift.Host
+	data  []byte            // the frame without its length field
+	pos   int               // position of the next record in data
+	left  uint32            // number of records not yet read
+	hosts []frostshift.Host // reused for every list
 }
 
-// NewReader returns a Reader of in.
+// NewReader returns a Reader that reads from in.
 func NewReader(in io.Reader) *Reader {
 	return &Reader{in: bufio.NewReaderSize(in, 1<<16)}
 }
 
 // Batch reads the next batch and returns its clock, or io.EOF when the input
-// has ended between batches.
+// ends between batches. Any other error means that the frame is malformed.
 func (r *Reader) Batch() (frostshift.Time, error) {
 	var head [4]byte
 	if _, err := io.ReadFull(r.in, head[:]); err == io.EOF {
@@ -100,7 +103,7 @@
 	if n < batchHeader || n > maxFrame {
 		return 0, fmt.Errorf("frame length %d at byte 0 is not between %d and %d", n, batchHeader, maxFrame)
 	}
-	r.frame.Reset() // grows with what arrives, not with what the length claims
+	r.frame.Reset() // grows with the bytes that arrive, so a false length allocates little
 	if got, err := io.CopyN(&r.frame, r.in, int64(n)); err != nil {
 		return 0, fmt.Errorf("frame ends at byte %d of %d", got+4, n+4)
 	}
@@ -113,8 +116,8 @@
 	return frostshift.Time(clock) * unit, nil
 }
 
-// Next decodes the next event of the batch into e and says whether there was
-// one.
+// Next decodes the next event of the batch into e and reports whether there was
+// one. An error means that the frame is malformed.
 func (r *Reader) Next(e *Event) (bool, error) {
 	if r.left == 0 {
 		if r.pos != len(r.data) {
@@ -195,7 +198,7 @@
 		f.u16()
 		f.bytes(uint64(f.u16()))
 	case Halt:
-	default: // a later wire may have more of them
+	default: // a later version of the protocol may have more codes
 		f.data, f.short = nil, false
 	}
 	return nil
@@ -260,8 +263,8 @@
 	307: frostshift.NotSent,
 }
 
-// fields reads little-endian fields; once one is missing, short is set and all
-// further ones are zero.
+// fields reads little-endian fields. When the data ends before a field does,
+// short is set, and that field and all further ones are zero.
 type fields struct {
 	data  []byte
 	short bool
@@ -313,23 +316,23 @@
 	return frostshift.HostID(addr) | frostshift.HostID(f.u16())<<32
 }
 
-// Writer collects the actions of one batch and writes them as one reply.
+// Writer collects the actions of one batch and writes them as one reply frame.
 type Writer struct {
 	out   *bufio.Writer
 	buf   []byte
 	count uint32
 }
 
-// NewWriter returns a Writer to out.
+// NewWriter returns a Writer that writes to out.
 func NewWriter(out io.Writer) *Writer {
 	return &Writer{out: bufio.NewWriterSize(out, 1<<16), buf: make([]byte, 8, 1<<12)}
 }
 
-// Flush sends the reply to the batch.
+// Flush writes the reply to the batch and starts the next one.
 func (w *Writer) Flush() error {
 	binary.LittleEndian.PutUint32(w.buf, uint32(len(w.buf)-4))
 	binary.LittleEndian.PutUint32(w.buf[4:], w.count)
-	w.out.Write(w.buf) // an error sticks and is returned by Flush
+	w.out.Write(w.buf) // bufio keeps an error and returns it from Flush
 	w.buf, w.count = w.buf[:8], 0
 	return w.out.Flush()
 }
@@ -338,36 +341,36 @@
 func (w *Writer) Action(instance uint32, a *frostshift.Action) {
 	switch a.Kind {
 	case frostshift.Send:
-		w.record(callOut, instance, 22)
+		w.record(recordSend, instance, 22)
 		w.u32(uint32(a.Request))
 		w.u32(uint32(a.Host))
 		w.u16(uint16(a.Host >> 32))
 		w.u64(uint64(a.At / unit))
 	case frostshift.Cancel:
-		w.record(withdraw, instance, 10)
+		w.record(recordCancel, instance, 10)
 		w.u32(uint32(a.Request))
 		w.u16(uint16(a.Attempt))
 	case frostshift.Refuse:
-		w.record(busy, instance, 12)
+		w.record(recordRefuse, instance, 12)
 		w.u32(uint32(a.Request))
 		w.u32(uint32(a.After / unit))
 	case frostshift.Fail:
-		w.record(fail, instance, 8)
+		w.record(recordFail, instance, 8)
 		w.u32(uint32(a.Request))
 	case frostshift.Wake:
-		w.record(wakeAt, instance, 20)
+		w.record(recordWake, instance, 20)
 		w.u64(uint64((a.At + unit - 1) / unit))
 		w.u64(a.Token)
 	case frostshift.Watch:
-		w.record(tail, instance, 5)
+		w.record(recordWatch, instance, 5)
 		w.buf = append(w.buf, 1)
 	case frostshift.Log:
-		w.text(writeLog, instance, a.Text)
+		w.text(recordLog, instance, a.Text)
 	}
 }
 
-// Crash reports that an instance cannot go on.
-func (w *Writer) Crash(instance uint32, text string) { w.text(crash, instance, text) }
+// Crash adds a report that an instance has failed and was stopped.
+func (w *Writer) Crash(instance uint32, text string) { w.text(recordCrash, instance, text) }
 
 func (w *Writer) text(code byte, instance uint32, text string) {
 	text = text[:min(len(text), maxText)]
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -15,7 +15,7 @@
 	"frostshift"
 )
 
-// frame builds a batch of records, each a code and its fields.
+// frame builds a frame from records, each given as its code followed by its fields.
 func frame(clock uint64, records ...[]byte) []byte {
 	b := binary.LittleEndian.AppendUint64(nil, clock)
 	b = binary.LittleEndian.AppendUint32(b, uint32(len(records)))
@@ -36,16 +36,16 @@
 	return b
 }
 
-func readAll(data []byte) (Time time.Duration, events []Event, err error) {
+func readAll(data []byte) (clock time.Duration, events []Event, err error) {
 	r := NewReader(bytes.NewReader(data))
-	if Time, err = r.Batch(); err != nil {
-		return Time, nil, err
+	if clock, err = r.Batch(); err != nil {
+		return clock, nil, err
 	}
 	for {
 		var e Event
 		more, err := r.Next(&e)
 		if !more || err != nil {
-			return Time, events, err
+			return clock, events, err
 		}
 		e.Hosts = append([]frostshift.Host(nil), e.Hosts...)
 		events = append(events, e)
@@ -92,8 +92,8 @@
 }
 
 func TestMalformedFrames(t *testing.T) {
-	ring := unhex(t, "06 03000000 4d00000000000000")
-	whole := frame(1, ring)
+	timer := unhex(t, "06 03000000 4d00000000000000")
+	whole := frame(1, timer)
 	count := func(n uint32) []byte {
 		b := bytes.Clone(whole)
 		binary.LittleEndian.PutUint32(b[12:], n)
@@ -119,8 +119,8 @@
 		{"more records than bytes", count(2), "record header is cut off"},
 		{"fewer records than bytes", count(0), "behind the last record"},
 		{"record past the frame", size(1 << 31), "reaches past the frame"},
-		{"record short", frame(1, ring[:9]), "too short"},
-		{"record long", frame(1, append(bytes.Clone(ring), 0)), "1 bytes too many"},
+		{"record short", frame(1, timer[:9]), "too short"},
+		{"record long", frame(1, append(bytes.Clone(timer), 0)), "1 bytes too many"},
 		{"unknown outcome", frame(1, unhex(t, "04 03000000 c4913a5d 0100 0a124a07 2b23 0900 44480000 01 00")),
 			"unknown outcome 9"},
 		{"unknown list mode", frame(1, unhex(t, "01 03000000 09 2900000000000000 00000000")), "list mode 9"},
@@ -140,26 +140,26 @@
 }
 
 func TestUnknownEventsAreSkipped(t *testing.T) {
-	ring := unhex(t, "06 03000000 4d00000000000000")
+	timer := unhex(t, "06 03000000 4d00000000000000")
 	for _, unknown := range []string{"63", "63 03000000", "63 03000000 0102030405"} {
-		_, events, err := readAll(frame(2, unhex(t, unknown), ring))
+		_, events, err := readAll(frame(2, unhex(t, unknown), timer))
 		if err != nil || len(events) != 2 || events[1].Code != TimerFired || events[1].Token != 0x4d {
 			t.Errorf("record %q: events %+v, error %v, want the next one read", unknown, events, err)
 		}
 	}
 }
 
-// FuzzReader gives the reader any bytes: it must end with one line or at the end of
-// the input, and never yield an event with more hosts than its bytes can hold.
+// FuzzReader passes arbitrary bytes to the reader: it must stop with an error of one line or at
+// the end of the input, and never return an event with more hosts than its bytes can contain.
 func FuzzReader(f *testing.F) {
-	ring := []byte{6, 12, 0, 0, 0, 3, 0, 0, 0, 0x4d, 0, 0, 0, 0, 0, 0, 0}
-	f.Add(append([]byte{29, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0}, ring...))
+	timer := []byte{6, 12, 0, 0, 0, 3, 0, 0, 0, 0x4d, 0, 0, 0, 0, 0, 0, 0}
+	f.Add(append([]byte{29, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1, 0, 0, 0}, timer...))
 	f.Add([]byte{255, 255, 255, 255})
 	f.Add([]byte{12, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 9, 0, 0, 0})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		_, events, err := readAll(data)
 		if err != nil && strings.Contains(err.Error(), "\n") {
-			t.Fatalf("error %v, want one line at most", err)
+			t.Fatalf("error %v, want at most one line", err)
 		}
 		for _, e := range events {
 			if len(e.Hosts)*entrySize > len(data) {
--- a/memory.go
+++ b/memory.go
@@ -7,62 +7,63 @@
 	"frostshift/internal/evidence"
 )
 
-// What a Balancer has learned, as another one takes it over: that of a process which takes the
-// place of this one. Nothing here decides anything. Times are ages, as the two need not share
-// a clock; requests are not part of it.
+// This file exports the learned state of a Balancer and restores it in the Balancer of the
+// process that replaces this one. It contains no decision logic. Times are exported as ages,
+// because the two processes need not share a clock; requests are not included.
 
-// MemoryVersion is that of Memory. One of another version is not for Restore.
+// MemoryVersion is the format version of Memory. Restore ignores a Memory of another version.
 const MemoryVersion = 1
 
-// Memory is what has been learned of hosts and of the load.
+// Memory is the learned state: what a Balancer knows about the hosts and the load.
 type Memory struct {
 	Version int
 	Hosts   []HostMemory
-	Banned  []HostID
-	Admit   float64
-	Late    EvidenceMemory
-	Works   EvidenceMemory
-	Worth   MeanMemory
-	Gap     MeanMemory
-	All     MeanMemory
-	Classes []MeanMemory
-	Kinds   []EvidenceMemory
-	Served  float64
-	Warm    int
-	// ServedAge and ServedFor are how long ago the rate was read and first began.
+	Banned  []HostID         // hosts that an operator took out of service
+	Admit   float64          // share of the requests that is admitted on arrival
+	Late    EvidenceMemory   // lateness of answers, in aims
+	Works   EvidenceMemory   // logarithms of RTT over the usual RTT, of all answers
+	Worth   MeanMemory       // worth of the requests answered
+	Gap     MeanMemory       // time between two samples of a host, in seconds
+	All     MeanMemory       // RTT of all answers, in seconds
+	Classes []MeanMemory     // RTT by class
+	Kinds   []EvidenceMemory // as Works, but relative to all hosts, by kind of host
+	Served  float64          // rate of good answers of a warm host to the whole fleet, per second
+	Warm    int              // number of warm hosts; Restore ignores it
+	// ServedAge is the time since Served was last updated, ServedFor the time since its
+	// measurement began.
 	ServedAge, ServedFor time.Duration
 }
 
-// HostMemory is what has been learned of a host.
+// HostMemory is the learned state of one host.
 type HostMemory struct {
 	ID       HostID
-	Fresh    bool
-	Faulty   bool // RTT is a penalty
-	Slow     EvidenceMemory
-	RTT      float64
-	Age      time.Duration // of RTT
-	Limit    float64
-	Lat      MeanMemory
-	Fails    int
-	Down     bool
-	Good     int
-	Out      time.Duration // left of its ejection
-	Cold     bool
-	ColdFor  time.Duration // since its start
-	Owed     bool
+	Fresh    bool           // there is no RTT sample yet
+	Faulty   bool           // RTT includes a penalty that has not decayed
+	Slow     EvidenceMemory // logarithms of its RTT over the usual RTT
+	RTT      float64        // peak EWMA, in seconds
+	Age      time.Duration  // of RTT
+	Limit    float64        // in-flight limit of the host for the whole fleet
+	Lat      MeanMemory     // RTT of answers and time-outs
+	Fails    int            // ejections since the last good answer
+	Down     bool           // connections to it failed
+	Good     int            // answers since its last error
+	Out      time.Duration  // time left of its ejection
+	Cold     bool           // it started less than WarmAfter ago
+	ColdFor  time.Duration  // time since its start
+	Owed     bool           // an operator put it back into service, and it has not answered since
 	Started  Time
-	HeardAge time.Duration
+	HeardAge time.Duration // time since its last answer of any kind
 }
 
-// MeanMemory is a moving average.
+// MeanMemory is the state of a moving average and of its deviation.
 type MeanMemory struct {
 	Mean, Dev float64
 	Seen      bool
 	Age       time.Duration
 }
 
-// EvidenceMemory is a mean with what stands behind it: the weight of the samples, their sum and
-// that of their squares.
+// EvidenceMemory is the state of an [evidence.Mean]: the weight of the samples, their weighted
+// sum and that of their squares.
 type EvidenceMemory struct {
 	N, Sum, Sq float64
 	Age        time.Duration
@@ -72,30 +73,31 @@
 	return EvidenceMemory{m.N, m.Sum, m.Sq, now - m.At}
 }
 
-// mean gives it back where samples between -most and most can have made it.
-func (m EvidenceMemory) mean(now Time, most float64) evidence.Mean {
-	if !sane(m.N) || !sane(m.Sq) || m.N > heldMost || !(math.Abs(m.Sum) <= m.N*most) || m.Sq > m.N*most*most || m.Age < 0 {
+// mean restores the mean. It returns an empty one for values that samples between -maxAbs and
+// maxAbs cannot produce.
+func (m EvidenceMemory) mean(now Time, maxAbs float64) evidence.Mean {
+	if !isLearnedValue(m.N) || !isLearnedValue(m.Sq) || m.N > heldMost || !(math.Abs(m.Sum) <= m.N*maxAbs) || m.Sq > m.N*maxAbs*maxAbs || m.Age < 0 {
 		return evidence.Mean{}
 	}
 	return evidence.Mean{N: m.N, Sum: m.Sum, Sq: m.Sq, At: now - m.Age}
 }
 
-// mostTimes bounds the logarithm of how many times longer an answer takes than others do.
-const mostTimes = 25
+// maxLogSlowdown bounds the logarithm of the ratio between the RTT of an answer and the usual RTT.
+const maxLogSlowdown = 25
 
 func (m *mean) memory(now Time) MeanMemory { return MeanMemory{m.mean, m.dev, m.seen, now - m.at} }
 
 func (m MeanMemory) mean(now Time) mean {
-	if !sane(m.Mean) || !sane(m.Dev) {
+	if !isLearnedValue(m.Mean) || !isLearnedValue(m.Dev) {
 		return mean{}
 	}
 	return mean{m.Mean, m.Dev, m.Seen, now - max(m.Age, 0)}
 }
 
-// sane says whether a figure can be one that was learned.
-func sane(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
+// isLearnedValue says whether a value can result from learning: it is finite and not negative.
+func isLearnedValue(x float64) bool { return x >= 0 && !math.IsInf(x, 0) }
 
-// Memory is what has been learned up to now.
+// Memory returns the state learned up to now.
 func (b *Balancer) Memory(now Time) Memory {
 	m := Memory{Version: MemoryVersion, Admit: b.admit, Late: evidenceMemory(&b.late, now), Works: evidenceMemory(&b.works, now), Worth: b.worth.memory(now), Gap: b.gap.memory(now),
 		All: b.all.memory(now), Served: b.served, Warm: b.warm}
@@ -112,19 +114,19 @@
 		m.Banned = append(m.Banned, id)
 	}
 	for _, h := range b.hosts {
-		o := HostMemory{ID: h.ID, Fresh: h.fresh, Faulty: h.faulty, Slow: evidenceMemory(&h.slow, now), RTT: h.rtt, Age: now - h.rttAt, Limit: h.limit, Lat: h.lat.memory(now), Fails: h.fails,
+		hm := HostMemory{ID: h.ID, Fresh: h.fresh, Faulty: h.faulty, Slow: evidenceMemory(&h.slow, now), RTT: h.rtt, Age: now - h.rttAt, Limit: h.limit, Lat: h.lat.memory(now), Fails: h.fails,
 			Down: h.down, Good: h.good, Out: max(0, h.ejectUntil-now), Cold: h.cold, ColdFor: now - h.coldAt, Started: h.Started, HeardAge: now - h.heard}
 		for _, owed := range b.owing {
-			o.Owed = o.Owed || owed == h
+			hm.Owed = hm.Owed || owed == h
 		}
-		m.Hosts = append(m.Hosts, o)
+		m.Hosts = append(m.Hosts, hm)
 	}
 	return m
 }
 
-// Restore takes over what another balancer had learned: of the hosts that are listed already
-// and have not started anew since. It is called once, behind the first list and before the
-// first request; what makes no sense is left out.
+// Restore takes over the learned state of another balancer, for the hosts that are already
+// listed and have not restarted since. It must be called once, after the first list and before
+// the first request. It ignores a Memory of another version, and leaves out invalid values.
 func (b *Balancer) Restore(now Time, m *Memory) {
 	b.now = now
 	if m.Version != MemoryVersion {
@@ -136,38 +138,38 @@
 	if m.Admit > 0 && m.Admit <= 1 {
 		b.admit = m.Admit
 	}
-	b.late, b.works = m.Late.mean(now, 1), m.Works.mean(now, mostTimes)
+	b.late, b.works = m.Late.mean(now, 1), m.Works.mean(now, maxLogSlowdown)
 	b.worth, b.gap, b.all = m.Worth.mean(now), m.Gap.mean(now), m.All.mean(now)
 	for i := range m.Classes[:min(len(m.Classes), len(b.lat))] {
 		b.lat[i] = m.Classes[i].mean(now)
 	}
 	for i := range m.Kinds[:min(len(m.Kinds), len(b.kinds))] {
-		b.kinds[i] = m.Kinds[i].mean(now, mostTimes)
+		b.kinds[i] = m.Kinds[i].mean(now, maxLogSlowdown)
 	}
-	if sane(m.Served) && m.ServedFor > 0 && m.ServedAge >= 0 {
+	if isLearnedValue(m.Served) && m.ServedFor > 0 && m.ServedAge >= 0 {
 		b.served, b.servedAt, b.servedFrom = m.Served, now-m.ServedAge, now-m.ServedFor
 	}
 	for i := range m.Hosts {
-		o := &m.Hosts[i]
-		h := b.byID[o.ID]
-		if h == nil || h.Started != o.Started || !sane(o.RTT) || !(o.Limit >= limitLeast) || o.Age < 0 || o.ColdFor < 0 || o.HeardAge < 0 || o.Fails < 0 {
+		hm := &m.Hosts[i]
+		h := b.byID[hm.ID]
+		if h == nil || h.Started != hm.Started || !isLearnedValue(hm.RTT) || !(hm.Limit >= limitLeast) || hm.Age < 0 || hm.ColdFor < 0 || hm.HeardAge < 0 || hm.Fails < 0 {
 			continue
 		}
-		h.fresh, h.rtt, h.rttAt, h.limit, h.lat = o.Fresh, o.RTT, now-o.Age, o.Limit, o.Lat.mean(now)
-		h.fails, h.down, h.good, h.ejectUntil = o.Fails, o.Down, o.Good, now+min(max(o.Out, 0), time.Minute)
-		h.heard, h.faulty, h.slow = now-o.HeardAge, o.Faulty, o.Slow.mean(now, mostTimes)
-		if h.cold = h.cold || o.Cold; o.Cold {
-			h.coldAt = now - o.ColdFor
+		h.fresh, h.rtt, h.rttAt, h.limit, h.lat = hm.Fresh, hm.RTT, now-hm.Age, hm.Limit, hm.Lat.mean(now)
+		h.fails, h.down, h.good, h.ejectUntil = hm.Fails, hm.Down, hm.Good, now+min(max(hm.Out, 0), time.Minute)
+		h.heard, h.faulty, h.slow = now-hm.HeardAge, hm.Faulty, hm.Slow.mean(now, maxLogSlowdown)
+		if h.cold = h.cold || hm.Cold; hm.Cold {
+			h.coldAt = now - hm.ColdFor
 		}
-		if o.Owed {
+		if hm.Owed {
 			b.owing = append(b.owing, h)
 		}
 	}
 	b.layRing()
 }
 
-// Processes says how many processes are this one instance now: they share its part of what cold
-// hosts may get.
+// Processes sets how many sibling processes (hot restart) form this one instance now: they
+// divide the instance's share of the budgets of cold hosts among them.
 func (b *Balancer) Processes(now Time, n int) {
 	b.now = now
 	b.twins = float64(max(1, n))
--- a/settings.go
+++ b/settings.go
@@ -6,7 +6,8 @@
 	"math"
 )
 
-// check rejects what cannot be served and fills in defaults.
+// check rejects invalid settings and fills in the defaults of optional fields. It replaces
+// set.Classes by a copy, so that the caller's slice is not changed.
 func check(set *Settings) error {
 	switch {
 	case set.Instances < 1:
@@ -70,6 +71,7 @@
 	return nil
 }
 
+// orDefault sets a value that is 0 to its default.
 func orDefault[T int | float64 | Time](v *T, def T) {
 	if *v == 0 {
 		*v = def
--- a/standing.go
+++ b/standing.go
@@ -6,57 +6,61 @@
 	"frostshift/internal/evidence"
 )
 
-// What a Balancer goes by, for those on call. Nothing here decides anything.
+// This file reports the state that the decisions of a Balancer are based on, for operators. It
+// contains no decision logic.
 
-// Status is which hosts an instance uses and what it turns away, with the evidence for both.
+// Status says which hosts an instance uses and which share of the requests it admits, with the
+// evidence for both.
 type Status struct {
-	Part    int     // hosts that it draws from
-	Reach   int     // ... with those that its own load asks for
-	Sharers float64 // instances that draw from a host
-	// Admitted is the share of requests that is not refused on arrival, Late how late answers are
-	// held to be, in aims, Answers how many recent ones say so. Below PressedAt nothing is shed.
+	Part    int     // size of the subset that it selects hosts from
+	Reach   int     // size of the subset after it was widened for the instance's own load
+	Sharers float64 // number of instances that use a host, as a mean
+	// Admitted is the share of requests that is not refused on arrival. Late is the estimated
+	// lateness of answers, in aims, and Answers the number of recent answers behind it. Admitted
+	// shrinks while Late is above PressedAt.
 	Admitted, Late, Answers, PressedAt float64
 	Hosts                              []HostStatus
 }
 
-// HostStatus is what is held of a host.
+// HostStatus is the state of one host as this instance sees it.
 type HostStatus struct {
 	ID  HostID
 	Use Use
-	// Estimate is its time as it counts now, Unlike how far it is believed to differ from the
-	// others, from 0 to 1, Answers on how many recent ones that rests.
+	// Estimate is the RTT that selections use now. Unlike is the confidence that the host's RTT
+	// differs from that of the others, from 0 to 1, and Answers the number of recent answers
+	// behind it.
 	Estimate        time.Duration
 	Unlike, Answers float64
-	Pending         int
-	Out             time.Duration // left of its ejection
+	Pending         int           // attempts of this instance in flight, without those whose body streams
+	Out             time.Duration // time left of its ejection; 0 when it is not ejected
 }
 
-// Use is whether an instance uses a host, and why not.
+// Use says whether an instance uses a host and, if not, why.
 type Use string
 
 // Uses.
 const (
-	UseDrawn   Use = "drawn"   // it is among those that requests are dealt to
-	UseWider   Use = "wider"   // ... for the instance's own load
-	UseBeyond  Use = "beyond"  // others use it; it would be, were others out
-	UseFull    Use = "full"    // it holds all that this instance may have there
-	UseCold    Use = "cold"    // its budget has nothing for this instance now
-	UseEjected Use = "ejected" // it failed, or was silent
-	UseLeaving Use = "leaving" // it drains, or was taken out by hand
-	UseBackup  Use = "backup"
+	UseDrawn   Use = "drawn"   // it is in the subset that requests are sent to
+	UseWider   Use = "wider"   // it is in the part of the subset added for the instance's own load
+	UseBeyond  Use = "beyond"  // it is outside the subset; it is used when hosts of the subset are not usable
+	UseFull    Use = "full"    // it has reached its in-flight limit for this instance
+	UseCold    Use = "cold"    // it is cold, and its budget allows this instance no request now
+	UseEjected Use = "ejected" // it failed or did not answer
+	UseLeaving Use = "leaving" // it drains, or an operator took it out of service
+	UseBackup  Use = "backup"  // it takes requests only when no other host can
 )
 
-// Status is how things stand now.
+// Status returns the current status.
 func (b *Balancer) Status(now Time) Status {
 	b.now = now
 	s := Status{Part: min(b.subset, len(b.ring)), Reach: min(b.reach, len(b.ring)), Sharers: b.sharers, Admitted: b.admit, Late: b.lateness(),
 		Answers: b.late.N, PressedAt: pressAims}
 	if s.Late < calmAims || b.sharers <= shedSharers {
-		s.Admitted = 1 // what stood is over: the next arrival finds so
+		s.Admitted = 1 // shedding is over: the next arrival resets the admitted share
 	}
-	place := map[*host]int{}
+	positions := map[*host]int{}
 	for i, h := range b.ring {
-		place[h] = i + 1
+		positions[h] = i + 1
 	}
 	for _, h := range b.hosts {
 		if h.State == Removed {
@@ -64,7 +68,7 @@
 		}
 		v := HostStatus{ID: h.ID, Pending: h.pending, Estimate: time.Duration(b.believed(h) * 1e9), Answers: h.slow.N, Out: max(0, h.ejectUntil-now)}
 		v.Unlike = evidence.Sure(h.slow.Apart(0, b.noise.Deviation(1, easyAnswers), 1), likeUpTo, sureFrom)
-		at := place[h]
+		position := positions[h]
 		switch {
 		case h.State != Ready:
 			v.Use = UseLeaving
@@ -72,13 +76,13 @@
 			v.Use = UseEjected
 		case h.Backup:
 			v.Use = UseBackup
-		case at == 0 || at > s.Reach || h.cold && !h.mine:
+		case position == 0 || position > s.Reach || h.cold && !h.mine:
 			v.Use = UseBeyond
 		case b.coldHold(h):
 			v.Use = UseCold
 		case b.atLimit(h):
 			v.Use = UseFull
-		case at > s.Part:
+		case position > s.Part:
 			v.Use = UseWider
 		default:
 			v.Use = UseDrawn
@@ -88,12 +92,13 @@
 	return s
 }
 
-// Drawn are the hosts that requests are dealt to, also those that can take none just now.
-func (s *Status) Drawn() (list []HostID) {
+// Drawn returns the hosts that the instance uses, including those that cannot take a request at
+// the moment.
+func (s *Status) Drawn() (ids []HostID) {
 	for _, h := range s.Hosts {
 		if h.Use != UseBeyond && h.Use != UseLeaving && h.Use != UseBackup {
-			list = append(list, h.ID)
+			ids = append(ids, h.ID)
 		}
 	}
-	return list
+	return ids
 }
