--- a/balancer.go
+++ b/balancer.go
@@ -112,7 +112,7 @@
 // be size the part that this instance draws from, so that no host is left to nobody; the most
 // there may be divide what cold hosts and tenants may get, so that all together hold it.
 func (b *Balancer) Fleet(now Time, k Fleet) {
-	if b.now = now; k.MinInstances < 1 || k.MaxInstances < k.MinInstances || !(k.Position >= 0 && k.Position < 1) || k == b.shared {
+	if b.now = now; k.Min < 1 || k.MaxInstances < k.Min || !(k.Position >= 0 && k.Position < 1) || k == b.shared {
 		return
 	}
 	b.shared = k
@@ -217,7 +217,7 @@
 		return
 	}
 	width := func(of int) int { return max(subsetLeast, (b.warm*subsetMeet+of-1)/of) }
-	b.subset = width(b.shared.MinInstances)
+	b.subset = width(b.shared.Min)
 	for _, h := range b.places {
 		if b.set.Zones > 1 && !b.remote(h) {
 			near = append(near, h)
@@ -233,7 +233,7 @@
 	// What instances of its own zone and all instances walk past is what shares a cold host. Where
 	// views differ cold hosts are used within the part by Most alone, and by one more for places
 	// that do not meet: so the parts of all stay within one (docs/design/gossip.md).
-	narrow, doubt := width(b.shared.MaxInstances), float64(min(1, b.shared.MaxInstances-b.shared.MinInstances))
+	narrow, doubt := width(b.shared.MaxInstances), float64(min(1, b.shared.MaxInstances-b.shared.Min))
 	half, nearest := float64(narrow/2), min(first, narrow/2)
 	anywhere := min(1, float64(narrow)/float64(max(all, 1)))
 	for i, h := range b.ring {
