--- a/api.go
+++ b/api.go
@@ -103,8 +103,8 @@
 // Fleet reports how many instances share the hosts, as far as is known now, and the position of
 // this instance among them.
 type Fleet struct {
-	Position          float64 // on the ring of all instances, from 0 to below 1
-	Min, MaxInstances int     // bounds of the number of instances, including this one
+	Position float64 // on the ring of all instances, from 0 to below 1
+	Min, Max int     // bounds of the number of instances, including this one
 }
 
 // HostHealth is the state of a host as derived by the caller from the outcomes that peers
--- a/balancer.go
+++ b/balancer.go
@@ -112,12 +112,12 @@
 // be size the part that this instance draws from, so that no host is left to nobody; the most
 // there may be divide what cold hosts and tenants may get, so that all together hold it.
 func (b *Balancer) Fleet(now Time, k Fleet) {
-	if b.now = now; k.Min < 1 || k.MaxInstances < k.Min || !(k.Position >= 0 && k.Position < 1) || k == b.shared {
+	if b.now = now; k.Min < 1 || k.Max < k.Min || !(k.Position >= 0 && k.Position < 1) || k == b.shared {
 		return
 	}
 	b.shared = k
 	for i := range b.quota {
-		b.quota[i].rate = b.set.Tenants[i].Quota / float64(k.MaxInstances)
+		b.quota[i].rate = b.set.Tenants[i].Quota / float64(k.Max)
 	}
 	b.layRing()
 	b.pump()
@@ -211,7 +211,7 @@
 		}
 		b.weighted = b.weighted || h.weight() != 1
 	}
-	b.fleet = float64(b.shared.MaxInstances)
+	b.fleet = float64(b.shared.Max)
 	if len(b.places) > 0 && b.places[0].Sharers > 0 {
 		b.layPart()
 		return
@@ -233,7 +233,7 @@
 	// What instances of its own zone and all instances walk past is what shares a cold host. Where
 	// views differ cold hosts are used within the part by Most alone, and by one more for places
 	// that do not meet: so the parts of all stay within one (docs/design/gossip.md).
-	narrow, doubt := width(b.shared.MaxInstances), float64(min(1, b.shared.MaxInstances-b.shared.Min))
+	narrow, doubt := width(b.shared.Max), float64(min(1, b.shared.Max-b.shared.Min))
 	half, nearest := float64(narrow/2), min(first, narrow/2)
 	anywhere := min(1, float64(narrow)/float64(max(all, 1)))
 	for i, h := range b.ring {
--- a/coldhost.go
+++ b/coldhost.go
@@ -78,5 +78,5 @@
 // stagger is this instance's place in the cycle of sends to a cold host: steps of the golden ratio spread
 // any run of neighbours on the ring evenly, and each host has an order of its own.
 func (b *Balancer) stagger(h *host) float64 {
-	return b.shared.Position*float64(b.shared.MaxInstances)*math.Phi + float64(h.place)/math.MaxUint64
+	return b.shared.Position*float64(b.shared.Max)*math.Phi + float64(h.place)/math.MaxUint64
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -30,7 +30,7 @@
 			least := rapid.IntRange((live+1)/2, max((live+1)/2, most-1)).Draw(rt, "least")
 			_, place := math.Modf(offset + float64(n)/float64(live))
 			g.b.served, g.b.servedAt, g.b.servedFrom = warm, g.now, g.now-time.Hour
-			g.b.Fleet(g.now, Fleet{Position: place, Min: least, MaxInstances: most})
+			g.b.Fleet(g.now, Fleet{Position: place, Min: least, Max: most})
 			h := g.b.byID[list[cold].ID]
 			for i, x := range g.b.ring[:min(g.b.subset, len(g.b.ring))] {
 				if x == h && h.mine && i < g.b.subset {
@@ -58,19 +58,19 @@
 		t.Fatalf("typed: %d hosts, %v a second", g.b.subset, g.b.quota[0].rate)
 	}
 	before := g.b.shared
-	for _, k := range []Fleet{{}, {Position: 1, Min: 1, MaxInstances: 1}, {Position: math.NaN(), Min: 1, MaxInstances: 1}, {Position: 0, Min: 3, MaxInstances: 2}, {Min: -1, MaxInstances: 5}} {
+	for _, k := range []Fleet{{}, {Position: 1, Min: 1, Max: 1}, {Position: math.NaN(), Min: 1, Max: 1}, {Position: 0, Min: 3, Max: 2}, {Min: -1, Max: 5}} {
 		if g.b.Fleet(g.now, k); g.b.shared != before {
 			t.Errorf("%+v is taken", k)
 		}
 	}
-	g.b.Fleet(g.now, Fleet{Position: 0.5, Min: 20, MaxInstances: 50})
+	g.b.Fleet(g.now, Fleet{Position: 0.5, Min: 20, Max: 50})
 	if g.b.subset != 12 || g.b.fleet != 50 || g.b.quota[0].rate != 8 || g.b.ring[0] != g.b.places[30] {
 		t.Errorf("by a view: %d hosts, %v share, %v a second", g.b.subset, g.b.fleet, g.b.quota[0].rate)
 	}
 	// Two that agree on nothing but the order of places still use every host between them.
 	used := map[HostID]bool{}
 	for n := range 10 {
-		g.b.Fleet(g.now, Fleet{Position: float64(n) / 10, Min: 5 + n, MaxInstances: 20})
+		g.b.Fleet(g.now, Fleet{Position: float64(n) / 10, Min: 5 + n, Max: 20})
 		for _, h := range g.b.ring[:g.b.subset] {
 			used[h.ID] = true
 		}
--- a/internal/emulator/gossip.go
+++ b/internal/emulator/gossip.go
@@ -102,7 +102,7 @@
 			last = v.Version
 			w.share(g, v)
 			for _, p := range g.pools {
-				p.FleetNow(frostshift.Fleet{Position: v.Place, Min: v.Least, MaxInstances: v.Most}, v.Most)
+				p.FleetNow(frostshift.Fleet{Position: v.Place, Min: v.Least, Max: v.Most}, v.Most)
 				p.turn()
 			}
 		}
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -179,7 +179,7 @@
 	if v.Typed {
 		place = frostshift.TypedPlace(set.Rank, set.Instances)
 	}
-	p.ex.Fleet(frostshift.Fleet{Position: place, Min: v.Least * alike, MaxInstances: v.Most * alike}, v.Most)
+	p.ex.Fleet(frostshift.Fleet{Position: place, Min: v.Least * alike, Max: v.Most * alike}, v.Most)
 }
 
 // fleetStatus answers operators.
