--- a/balancer.go
+++ b/balancer.go
@@ -97,7 +97,7 @@
 	for _, c := range set.Classes {
 		b.aim, b.longAim = min(b.aim, c.Aim), max(b.longAim, c.Aim)
 	}
-	b.pass, b.admit, b.span, b.sharers = 1, 1, rateFalls*set.Fall.Seconds(), float64(set.Instances)
+	b.pass, b.admit, b.span, b.sharers = 1, 1, rateFalls*set.OverloadWindow.Seconds(), float64(set.Instances)
 	b.shared = Fleet{TypedPlace(set.Rank, set.Instances), set.Instances, set.Instances}
 	for _, t := range set.Tenants {
 		r := t.Quota / float64(set.Instances)
@@ -112,12 +112,12 @@
 // be size the part that this instance draws from, so that no host is left to nobody; the most
 // there may be divide what cold hosts and tenants may get, so that all together hold it.
 func (b *Balancer) Fleet(now Time, k Fleet) {
-	if b.now = now; k.Least < 1 || k.Most < k.Least || !(k.Place >= 0 && k.Place < 1) || k == b.shared {
+	if b.now = now; k.Min < 1 || k.Max < k.Min || !(k.Position >= 0 && k.Position < 1) || k == b.shared {
 		return
 	}
 	b.shared = k
 	for i := range b.quota {
-		b.quota[i].rate = b.set.Tenants[i].Quota / float64(k.Most)
+		b.quota[i].rate = b.set.Tenants[i].Quota / float64(k.Max)
 	}
 	b.layRing()
 	b.pump()
@@ -160,7 +160,7 @@
 func (b *Balancer) Start(now Time) {
 	b.now = now
 	if b.set.Ask {
-		b.watchIn(Time(float64(b.set.AskWithin) / 4 * b.shared.Place))
+		b.watchIn(Time(float64(b.set.AskWithin) / 4 * b.shared.Position))
 	}
 }
 
@@ -211,13 +211,13 @@
 		}
 		b.weighted = b.weighted || h.weight() != 1
 	}
-	b.fleet = float64(b.shared.Most)
+	b.fleet = float64(b.shared.Max)
 	if len(b.places) > 0 && b.places[0].Sharers > 0 {
 		b.layPart()
 		return
 	}
 	width := func(of int) int { return max(subsetLeast, (b.warm*subsetMeet+of-1)/of) }
-	b.subset = width(b.shared.Least)
+	b.subset = width(b.shared.Min)
 	for _, h := range b.places {
 		if b.set.Zones > 1 && !b.remote(h) {
 			near = append(near, h)
@@ -233,7 +233,7 @@
 	// What instances of its own zone and all instances walk past is what shares a cold host. Where
 	// views differ cold hosts are used within the part by Most alone, and by one more for places
 	// that do not meet: so the parts of all stay within one (docs/design/gossip.md).
-	narrow, doubt := width(b.shared.Most), float64(min(1, b.shared.Most-b.shared.Least))
+	narrow, doubt := width(b.shared.Max), float64(min(1, b.shared.Max-b.shared.Min))
 	half, nearest := float64(narrow/2), min(first, narrow/2)
 	anywhere := min(1, float64(narrow)/float64(max(all, 1)))
 	for i, h := range b.ring {
@@ -326,7 +326,7 @@
 	if h == nil {
 		return
 	}
-	h.doubt, h.doubtUntil = min(max(k.Doubt, 0), 1), k.Until
+	h.doubt, h.doubtUntil = min(max(k.Suspicion, 0), 1), k.Until
 	if h.waits && !(k.Down && k.Wait) { // others were answered: all may try, not all at once
 		h.waits, h.ejectUntil = false, min(h.ejectUntil, now+Time(saidAims*float64(b.aim)*b.float()))
 	}
@@ -346,9 +346,9 @@
 
 // Crowded is news of what others have out at a host. It counts as own pending does where two hosts are
 // compared, but for one request in blindIn: whatever is said, each host keeps that part of its own.
-func (b *Balancer) Crowded(now Time, k Crowd) {
+func (b *Balancer) Crowded(now Time, k PeerLoad) {
 	if h := b.byID[k.Host]; h != nil {
-		h.others, h.othersUntil = k.Out, k.Until
+		h.others, h.othersUntil = k.InFlight, k.Until
 	}
 }
 
--- a/hosthealth_test.go
+++ b/hosthealth_test.go
@@ -10,7 +10,7 @@
 func TestOthersRefusalsEjectUntilATrial(t *testing.T) {
 	g := start(t, basic(), hosts(4)...)
 	down := func(id HostID) {
-		g.b.HostHealth(g.now, HostHealth{Host: id, Doubt: 1, Down: true, Until: g.now + 3*time.Second})
+		g.b.HostHealth(g.now, HostHealth{Host: id, Suspicion: 1, Down: true, Until: g.now + 3*time.Second})
 	}
 	out := func(id HostID) bool { return g.b.byID[id].fails > 0 }
 	down(1)
@@ -83,7 +83,7 @@
 	g := start(t, basic(), hosts(4)...)
 	g.serve(400, 0, took)
 	hear := func(doubt float64) {
-		g.b.HostHealth(g.now, HostHealth{Host: 1, Doubt: doubt, Until: g.now + time.Hour})
+		g.b.HostHealth(g.now, HostHealth{Host: 1, Suspicion: doubt, Until: g.now + time.Hour})
 	}
 	hear(0.9)
 	if got := g.serve(400, 0, took); got[1] > 40 {
@@ -112,8 +112,8 @@
 	g := start(t, basic(), hosts(3)...)
 	took := func(HostID) time.Duration { return 10 * ms }
 	g.serve(60, 0, took)
-	g.b.Crowded(g.now, Crowd{Host: 1, Out: 1000, Until: g.now + time.Hour})
-	g.b.Crowded(g.now, Crowd{Host: 99, Out: 1, Until: g.now + time.Hour})
+	g.b.Crowded(g.now, PeerLoad{Host: 1, InFlight: 1000, Until: g.now + time.Hour})
+	g.b.Crowded(g.now, PeerLoad{Host: 99, InFlight: 1, Until: g.now + time.Hour})
 	if got := g.serve(400, 0, took); got[1] == 0 || got[1] > 400/blindIn {
 		t.Errorf("a host of which others say that it is full got %v, want some, %d at most", got, 400/blindIn)
 	}
--- a/internal/emulator/inflight.go
+++ b/internal/emulator/inflight.go
@@ -34,7 +34,7 @@
 		c.store.View(w.now, alive)
 		var hosts []inflight.HostID
 		for _, p := range g.pools {
-			p.ReportStatus(func(s frostshift.Standing) {
+			p.ReportStatus(func(s frostshift.Status) {
 				for _, h := range s.Drawn() {
 					hosts = append(hosts, inflight.HostID(h))
 				}
@@ -87,9 +87,9 @@
 		})
 	}
 	if len(news) > 0 {
-		list := make([]frostshift.Crowd, len(news))
+		list := make([]frostshift.PeerLoad, len(news))
 		for i, n := range news {
-			list[i] = frostshift.Crowd{Host: frostshift.HostID(n.Host), Out: n.Out, Until: n.Until}
+			list[i] = frostshift.PeerLoad{Host: frostshift.HostID(n.Host), InFlight: n.Out, Until: n.Until}
 		}
 		for _, p := range c.g.pools {
 			p.PeerLoad(list)
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -250,7 +250,7 @@
 
 // PeerLoad gives the balancer what other gateways have out at hosts; of those that are not the pool's it takes no
 // notice.
-func (p *Pool) PeerLoad(list []frostshift.Crowd) {
+func (p *Pool) PeerLoad(list []frostshift.PeerLoad) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		for _, k := range list {
 			p.b.Crowded(now, k)
@@ -298,6 +298,6 @@
 }
 
 // ReportStatus has the loop say what it goes by, to f in the loop.
-func (p *Pool) ReportStatus(f func(frostshift.Standing)) {
-	p.post(event{kind: do, run: func(now frostshift.Time) { f(p.b.Standing(now)) }})
+func (p *Pool) ReportStatus(f func(frostshift.Status)) {
+	p.post(event{kind: do, run: func(now frostshift.Time) { f(p.b.Status(now)) }})
 }
--- a/internal/gateway/load.go
+++ b/internal/gateway/load.go
@@ -75,9 +75,9 @@
 		if len(news) == 0 {
 			continue
 		}
-		list := make([]frostshift.Crowd, len(news))
+		list := make([]frostshift.PeerLoad, len(news))
 		for i, n := range news {
-			list[i] = frostshift.Crowd{Host: frostshift.HostID(n.Host), Out: n.Out, Until: n.Until}
+			list[i] = frostshift.PeerLoad{Host: frostshift.HostID(n.Host), InFlight: n.Out, Until: n.Until}
 		}
 		for _, p := range c.g.exchanges() {
 			p.PeerLoad(list)
@@ -89,7 +89,7 @@
 // the next turn.
 func (c *loads) draws() {
 	for _, p := range c.g.exchanges() {
-		p.ReportStatus(func(s frostshift.Standing) {
+		p.ReportStatus(func(s frostshift.Status) {
 			var list []inflight.HostID
 			for _, id := range s.Drawn() {
 				list = append(list, inflight.HostID(id))
--- a/settings.go
+++ b/settings.go
@@ -6,7 +6,8 @@
 	"math"
 )
 
-// check rejects what cannot be served and fills in defaults.
+// check rejects invalid settings and fills in the defaults of optional fields. It replaces
+// set.Classes by a copy, so that the caller's slice is not changed.
 func check(set *Settings) error {
 	switch {
 	case set.Instances < 1:
@@ -22,7 +23,7 @@
 		name string
 		v    Time
 	}{{"step", set.Step}, {"max retry after", set.MaxRetryAfter}, {"ask within", set.AskWithin},
-		{"warm after", set.WarmAfter}, {"fall", set.Fall}} {
+		{"warm after", set.WarmAfter}, {"fall", set.OverloadWindow}} {
 		if t.v < 0 {
 			return fmt.Errorf("settings: %s is negative", t.name)
 		}
@@ -65,11 +66,12 @@
 	orDefault(&set.AskWithin, 10e9)
 	orDefault(&set.ColdFrom, 1)
 	orDefault(&set.OverloadFactor, 2)
-	orDefault(&set.Fall, 1e9)
+	orDefault(&set.OverloadWindow, 1e9)
 	set.ColdFrom = min(set.ColdFrom, 1)
 	return nil
 }
 
+// orDefault sets a value that is 0 to its default.
 func orDefault[T int | float64 | Time](v *T, def T) {
 	if *v == 0 {
 		*v = def
