--- a/balancer.go
+++ b/balancer.go
@@ -544,10 +544,10 @@
 	b.pump()
 }
 
-// Stood says that the gateway itself stood still, or was behind, for d until now. What its
+// Stalled says that the gateway itself stood still, or was behind, for d until now. What its
 // hosts answered meanwhile was seen late, which is no slowness of theirs: taken for one, it
 // would cut what they may hold, and requests refused for that would come again.
-func (b *Balancer) Stood(now, d Time) {
+func (b *Balancer) Stalled(now, d Time) {
 	b.now = now
 	b.stood += d
 }
--- a/hosts_test.go
+++ b/hosts_test.go
@@ -23,7 +23,7 @@
 		}
 		// All stands still for 300 ms; the answers had come after 5.
 		g.now += 300 * ms
-		g.b.Stood(g.now, 295*ms)
+		g.b.Stalled(g.now, 295*ms)
 		g.advance(0)
 		for _, id := range ids {
 			g.outcome(id, 0, OK, 300*ms)
--- a/internal/exchange/loop.go
+++ b/internal/exchange/loop.go
@@ -121,7 +121,7 @@
 		return false
 	}
 	p.behindAt = now
-	p.b.Stood(now, now-from)
+	p.b.Stalled(now, now-from)
 	return true
 }
 
