--- a/balancer.go
+++ b/balancer.go
@@ -474,10 +474,10 @@
 	}
 }
 
-// Feeding says that the body of an attempt's request is still coming from the client: how
+// RequestBodyPending says that the body of an attempt's request is still coming from the client: how
 // long that takes is no fault of the host's, of which it holds a part, and the request's time
 // begins with the last byte.
-func (b *Balancer) Feeding(now Time, id RequestID, n int) {
+func (b *Balancer) RequestBodyPending(now Time, id RequestID, n int) {
 	b.now = now
 	if a := b.attempt(id, n); a != nil && !a.away {
 		a.req.feeding = true
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -367,7 +367,7 @@
 func TestBodiesOnTheirWayAreNoSlowness(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	id := g.request(0, 500*ms)
-	g.b.Feeding(g.now, id, 0)
+	g.b.RequestBodyPending(g.now, id, 0)
 	h := g.b.hosts[0]
 	if h.pending != 0 || h.streams != 1 || h.flight.head != nil {
 		t.Errorf("fed: %d attempts and %d streams at the host", h.pending, h.streams)
@@ -404,7 +404,7 @@
 func TestTimeCountsFromTheLastByte(t *testing.T) {
 	g := start(t, basic(), hosts(2)...)
 	id := g.request(0, 500*ms)
-	g.b.Feeding(g.now, id, 0)
+	g.b.RequestBodyPending(g.now, id, 0)
 	g.advance(10 * time.Second)
 	g.b.Fed(g.now, id, 0)
 	g.drain()
@@ -416,7 +416,7 @@
 		t.Errorf("past it: %v", done)
 	}
 	id = g.request(0, 500*ms)
-	g.b.Feeding(g.now, id, 0)
+	g.b.RequestBodyPending(g.now, id, 0)
 	g.advance(10 * time.Second)
 	g.outcome(id, 0, ConnectFailed, ms)
 	if again := g.sole(Send); again.Request != id {
--- a/feed_test.go
+++ b/feed_test.go
@@ -10,7 +10,7 @@
 func TestSlowBodyIsNotOverdueWhenItHasCome(t *testing.T) {
 	g := start(t, basic(), Host{ID: 1})
 	id := g.request(1, time.Second)
-	g.b.Feeding(g.now, id, 0)
+	g.b.RequestBodyPending(g.now, id, 0)
 	g.drain()
 	g.advance(3 * time.Second) // its aim is 400 ms
 	g.b.Fed(g.now, id, 0)
--- a/internal/exchange/call.go
+++ b/internal/exchange/call.go
@@ -243,7 +243,7 @@
 	p.outMore(a, 1)
 	a.handle = p.upstream.Start(a)
 	if c.Body != nil {
-		p.b.Feeding(now, c.id, a.n)
+		p.b.RequestBodyPending(now, c.id, a.n)
 		p.park(now, c)
 	}
 }
