--- a/balancer.go
+++ b/balancer.go
@@ -485,8 +485,8 @@
 	}
 }
 
-// Fed says that the last byte of a request that was Feeding has gone out.
-func (b *Balancer) Fed(now Time, id RequestID, n int) {
+// RequestBodySent says that the last byte of a request that was Feeding has gone out.
+func (b *Balancer) RequestBodySent(now Time, id RequestID, n int) {
 	b.now = now
 	if a := b.attempt(id, n); a != nil && a.req.feeding {
 		a.sent, a.stood = now, b.stood
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -378,7 +378,7 @@
 	if h.ejectUntil > g.now {
 		t.Error("the host counts as silent")
 	}
-	g.b.Fed(g.now, id, 0)
+	g.b.RequestBodySent(g.now, id, 0)
 	g.advance(10 * ms)
 	if h.pending != 1 || h.streams != 0 {
 		t.Errorf("sent: %d attempts and %d streams at the host", h.pending, h.streams)
@@ -406,7 +406,7 @@
 	id := g.request(0, 500*ms)
 	g.b.RequestBodyPending(g.now, id, 0)
 	g.advance(10 * time.Second)
-	g.b.Fed(g.now, id, 0)
+	g.b.RequestBodySent(g.now, id, 0)
 	g.drain()
 	if done := g.advance(400 * ms); len(done) != 0 {
 		t.Errorf("within its time: %v", done)
--- a/feed_test.go
+++ b/feed_test.go
@@ -13,7 +13,7 @@
 	g.b.RequestBodyPending(g.now, id, 0)
 	g.drain()
 	g.advance(3 * time.Second) // its aim is 400 ms
-	g.b.Fed(g.now, id, 0)
+	g.b.RequestBodySent(g.now, id, 0)
 	g.drain()
 	for range 8 { // others wait: what is overdue makes room
 		g.request(0, time.Second)
--- a/internal/exchange/flow.go
+++ b/internal/exchange/flow.go
@@ -57,7 +57,7 @@
 	c.work += a.took(e.at) / flowPart
 	a.restart(e.at)
 	p.unpark(now, c)
-	p.b.Fed(now, c.id, a.n)
+	p.b.RequestBodySent(now, c.id, a.n)
 }
 
 // flows takes the head of a final answer, whose body is still to come. The client gets it,
