--- a/balancer.go
+++ b/balancer.go
@@ -502,10 +502,10 @@
 	b.wake(r.deadline-answerSteps*b.set.Step, tokenAnswer<<tokenShift|uint64(r.ID))
 }
 
-// Flowing says that the head of the final answer came, with the result that it would have if
+// ResponseStreaming says that the head of the final answer came, with the result that it would have if
 // it were all, after the host had taken so long, and that its body flows as far as the client
 // takes it in. That holds a part of the host until the Outcome, and tells nothing of its speed.
-func (b *Balancer) Flowing(now Time, id RequestID, n int, result Result, took Time) {
+func (b *Balancer) ResponseStreaming(now Time, id RequestID, n int, result Result, took Time) {
 	b.now = now
 	a := b.attempt(id, n)
 	if a == nil || a.flows {
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -383,7 +383,7 @@
 	if h.pending != 1 || h.streams != 0 {
 		t.Errorf("sent: %d attempts and %d streams at the host", h.pending, h.streams)
 	}
-	g.b.Flowing(g.now, id, 0, OK, 10*ms)
+	g.b.ResponseStreaming(g.now, id, 0, OK, 10*ms)
 	if h.rtt > 0.1 || h.fresh {
 		t.Errorf("the host's estimate is %v s", h.rtt)
 	}
@@ -429,7 +429,7 @@
 	g := start(t, basic(), hosts(4)...)
 	for range 400 {
 		id := g.request(0, 500*ms)
-		g.b.Flowing(g.now, id, 0, OK, 10*ms)
+		g.b.ResponseStreaming(g.now, id, 0, OK, 10*ms)
 		g.advance(50 * ms)
 	}
 	for _, h := range g.b.hosts {
@@ -441,7 +441,7 @@
 		}
 	}
 	id := g.request(0, 500*ms)
-	g.b.Flowing(g.now, id, 0, OK, 10*ms)
+	g.b.ResponseStreaming(g.now, id, 0, OK, 10*ms)
 	at := g.b.reqs[id].atts[0].host
 	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Closed: true})
 	if at.ejectUntil <= g.now {
--- a/internal/exchange/flow.go
+++ b/internal/exchange/flow.go
@@ -78,7 +78,7 @@
 	c.mayRan, c.why = true, WhyAnswered
 	p.saw(a.Host, true)
 	p.met(a.Host, c.Class, result, took)
-	p.b.Flowing(now, c.id, a.n, result, took)
+	p.b.ResponseStreaming(now, c.id, a.n, result, took)
 	r := Reply{Verdict: Served, Answer: e.answer, Pool: p.name, Tries: c.spent + len(c.attempts), Ran: p.ran(c)}
 	c.headWork = c.worked(now)
 	p.shut(c)
