--- a/balancer.go
+++ b/balancer.go
@@ -941,9 +941,9 @@
 	return cmp.Or(n, backups)
 }
 
-// Pace is how many requests a second this instance may send while all hosts that it may use
+// ColdSendRate is how many requests a second this instance may send while all hosts that it may use
 // are cold; 0: one of them is warm, and no budget of cold hosts bounds the whole.
-func (b *Balancer) Pace(now Time) (rate float64) {
+func (b *Balancer) ColdSendRate(now Time) (rate float64) {
 	b.now = now
 	for _, h := range b.hosts {
 		if h.State != Ready || h.fails > 0 && b.now < h.ejectUntil {
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -288,7 +288,7 @@
 // Look has the loop say how it stands, to f in the loop; done is closed if it has ended.
 func (p *Pool) Look(f func(Load)) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
-		l := Load{Capacity: p.b.Capacity(now), Open: len(p.calls), Pace: p.b.Pace(now)}
+		l := Load{Capacity: p.b.Capacity(now), Open: len(p.calls), Pace: p.b.ColdSendRate(now)}
 		l.Members, l.Away = p.b.Members(now)
 		for i := range p.set.Classes {
 			l.Ready = l.Ready || p.b.Usable(now, i)
