--- a/balancer.go
+++ b/balancer.go
@@ -344,9 +344,9 @@
 	}
 }
 
-// Crowded is news of what others have out at a host. It counts as own pending does where two hosts are
+// PeerLoad is news of what others have out at a host. It counts as own pending does where two hosts are
 // compared, but for one request in blindIn: whatever is said, each host keeps that part of its own.
-func (b *Balancer) Crowded(now Time, k Crowd) {
+func (b *Balancer) PeerLoad(now Time, k Crowd) {
 	if h := b.byID[k.Host]; h != nil {
 		h.others, h.othersUntil = k.Out, k.Until
 	}
--- a/hosthealth_test.go
+++ b/hosthealth_test.go
@@ -112,8 +112,8 @@
 	g := start(t, basic(), hosts(3)...)
 	took := func(HostID) time.Duration { return 10 * ms }
 	g.serve(60, 0, took)
-	g.b.Crowded(g.now, Crowd{Host: 1, Out: 1000, Until: g.now + time.Hour})
-	g.b.Crowded(g.now, Crowd{Host: 99, Out: 1, Until: g.now + time.Hour})
+	g.b.PeerLoad(g.now, Crowd{Host: 1, Out: 1000, Until: g.now + time.Hour})
+	g.b.PeerLoad(g.now, Crowd{Host: 99, Out: 1, Until: g.now + time.Hour})
 	if got := g.serve(400, 0, took); got[1] == 0 || got[1] > 400/blindIn {
 		t.Errorf("a host of which others say that it is full got %v, want some, %d at most", got, 400/blindIn)
 	}
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -253,7 +253,7 @@
 func (p *Pool) Crowded(list []frostshift.Crowd) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		for _, k := range list {
-			p.b.Crowded(now, k)
+			p.b.PeerLoad(now, k)
 		}
 	}})
 }
