--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -289,7 +289,7 @@
 func (p *Pool) Look(f func(Load)) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		l := Load{Capacity: p.b.Capacity(now), Open: len(p.calls), Pace: p.b.ColdSendRate(now)}
-		l.Members, l.Away = p.b.Members(now)
+		l.Members, l.Away = p.b.HostCounts(now)
 		for i := range p.set.Classes {
 			l.Ready = l.Ready || p.b.Usable(now, i)
 		}
--- a/state.go
+++ b/state.go
@@ -428,8 +428,8 @@
 	return true
 }
 
-// Members is how many hosts are listed, and how many of them get nothing now.
-func (b *Balancer) Members(now Time) (listed, away int) {
+// HostCounts is how many hosts are listed, and how many of them get nothing now.
+func (b *Balancer) HostCounts(now Time) (listed, away int) {
 	b.now = now
 	for _, h := range b.hosts {
 		if h.State == Removed {
