--- a/balancer.go
+++ b/balancer.go
@@ -98,7 +98,7 @@
 		b.aim, b.longAim = min(b.aim, c.Aim), max(b.longAim, c.Aim)
 	}
 	b.pass, b.admit, b.span, b.sharers = 1, 1, rateFalls*set.Fall.Seconds(), float64(set.Instances)
-	b.shared = Fleet{TypedPlace(set.Rank, set.Instances), set.Instances, set.Instances}
+	b.shared = Fleet{RankPosition(set.Rank, set.Instances), set.Instances, set.Instances}
 	for _, t := range set.Tenants {
 		r := t.Quota / float64(set.Instances)
 		b.quota = append(b.quota, bucket{tokens: r * quotaBurst, rate: r})
--- a/internal/config/gossip.go
+++ b/internal/config/gossip.go
@@ -52,7 +52,7 @@
 	}
 	return &gossip.Config{Name: m.Name, Zone: b.Zone, Listen: b.Listen, Advertise: b.Advertise, Typed: m.Instances,
 		Verdicts: b.Verdicts, Overrides: b.Overrides, Load: b.Load, Probe: b.Probe, Window: b.Window,
-		Place: frostshift.TypedPlace(b.Rank, max(m.Instances, 1)), Join: d.joins(b, here), Keys: d.gossipKeys(b.KeyFile)}
+		Place: frostshift.RankPosition(b.Rank, max(m.Instances, 1)), Join: d.joins(b, here), Keys: d.gossipKeys(b.KeyFile)}
 }
 
 // gossipAddresses checks where this gateway hears the others, and returns the addresses that are its own.
--- a/internal/emulator/gossip.go
+++ b/internal/emulator/gossip.go
@@ -88,7 +88,7 @@
 	t := w.spec.Talk
 	typed := max(t.Typed, 1)
 	g.hears = make([]bool, len(w.gateways))
-	g.peers = peers.New(w.now-w.begin, peers.Config{Self: peers.Member{Name: w.name(g.n)}, Typed: typed, Place: frostshift.TypedPlace(g.n%typed, typed), Window: t.Window})
+	g.peers = peers.New(w.now-w.begin, peers.Config{Self: peers.Member{Name: w.name(g.n)}, Typed: typed, Place: frostshift.RankPosition(g.n%typed, typed), Window: t.Window})
 	last := -1
 	var look func()
 	look = func() {
--- a/internal/gateway/gossip.go
+++ b/internal/gateway/gossip.go
@@ -177,7 +177,7 @@
 		place--
 	}
 	if v.Typed {
-		place = frostshift.TypedPlace(set.Rank, set.Instances)
+		place = frostshift.RankPosition(set.Rank, set.Instances)
 	}
 	p.ex.Fleet(frostshift.Fleet{Place: place, Least: v.Least * alike, Most: v.Most * alike}, v.Most)
 }
--- a/state.go
+++ b/state.go
@@ -538,9 +538,9 @@
 	b.act(Action{Kind: Log, Text: text})
 }
 
-// TypedPlace is the place on a ring of a rank among so many: steps of the golden ratio, made
+// RankPosition is the place on a ring of a rank among so many: steps of the golden ratio, made
 // coprime to their number, put all as far apart as can be, and any run of ranks nearly.
-func TypedPlace(rank, of int) float64 {
+func RankPosition(rank, of int) float64 {
 	gcd := func(x, y int) int {
 		for y != 0 {
 			x, y = y, x%y
