--- a/balancer.go
+++ b/balancer.go
@@ -557,8 +557,8 @@
 	return max(elapsed-(b.stood-a.stood), elapsed/stoodLeast)
 }
 
-// Gone says that nobody waits for the request any more.
-func (b *Balancer) Gone(now Time, id RequestID) {
+// ClientGone says that nobody waits for the request any more.
+func (b *Balancer) ClientGone(now Time, id RequestID) {
 	b.now = now
 	if r := b.reqs[id]; r != nil && !r.done {
 		b.end(r)
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -279,7 +279,7 @@
 	g.outcome(id+99, 0, OK, ms)
 	g.outcome(id, 7, OK, ms)
 	g.outcome(id, -1, OK, ms)
-	g.b.Gone(g.now, id+99)
+	g.b.ClientGone(g.now, id+99)
 	g.b.Started(g.now, id+99, 0)
 	g.b.Started(g.now, id, 9)
 	g.b.Timer(g.now, math.MaxUint64)
@@ -292,7 +292,7 @@
 	}
 	g.outcome(id, 0, OK, -ms)
 	g.outcome(id, 0, OK, ms)
-	g.b.Gone(g.now, id)
+	g.b.ClientGone(g.now, id)
 	g.drain()
 	if len(g.acts) != 0 || len(g.b.reqs) != 0 || g.b.hosts[0].pending+g.b.hosts[1].pending != 0 {
 		t.Errorf("actions %v, state kept", g.acts)
@@ -302,7 +302,7 @@
 func TestGoneCancelsAndForgets(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	id := g.request(0, time.Second)
-	g.b.Gone(g.now, id)
+	g.b.ClientGone(g.now, id)
 	g.drain()
 	g.sole(Cancel)
 	g.outcome(id, 0, Canceled, ms)
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -78,7 +78,7 @@
 	case wire.AttemptEnd:
 		b.Outcome(now, e.Outcome)
 	case wire.Withdrawn:
-		b.Gone(now, e.Request.ID)
+		b.ClientGone(now, e.Request.ID)
 	case wire.Ring:
 		b.Timer(now, e.Token)
 	case wire.Halt:
--- a/eject_test.go
+++ b/eject_test.go
@@ -179,7 +179,7 @@
 				t.Fatal("never sent to the one host that takes connections")
 			}
 		}
-		g.b.Gone(g.now, id)
+		g.b.ClientGone(g.now, id)
 		g.drain()
 	}
 	trials := 0
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -202,7 +202,7 @@
 	}
 	id := h.live[x%len(h.live)]
 	h.reqs[id].answered = true
-	h.b.Gone(h.now, id)
+	h.b.ClientGone(h.now, id)
 	h.settle()
 }
 
--- a/internal/exchange/call.go
+++ b/internal/exchange/call.go
@@ -451,7 +451,7 @@
 // forget tells the balancer that nobody waits for a request any more.
 func (p *Pool) forget(now frostshift.Time, c *Call) {
 	if c.admitted {
-		p.b.Gone(now, c.id)
+		p.b.ClientGone(now, c.id)
 	}
 }
 
--- a/internal/exchange/fair.go
+++ b/internal/exchange/fair.go
@@ -115,7 +115,7 @@
 	}
 	n := len(c.attempts)
 	p.finish(c, r)
-	p.b.Gone(now, c.id)
+	p.b.ClientGone(now, c.id)
 	p.b.Outcome(now, frostshift.Outcome{Request: c.id, Attempt: n, Result: frostshift.NotSent, Closed: true})
 	return false
 }
