--- a/balancer_test.go
+++ b/balancer_test.go
@@ -11,7 +11,7 @@
 func TestSampleAndEstimate(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	h := g.b.hosts[0]
-	tau := decayAims * g.b.aim.Seconds()
+	tau := estimateDecayAims * g.b.shortestAim.Seconds()
 	steps := []struct {
 		name  string
 		after time.Duration
@@ -24,16 +24,16 @@
 		{"below the old peak but above it decayed replaces it", 100 * time.Second, 0.02, 0.02},
 	}
 	for _, s := range steps {
-		g.b.gap.mean = 0 // samples come often
+		g.b.sampleGap.mean = 0 // samples come often
 		g.b.now += s.after
-		g.b.sample(h, s.rtt)
+		g.b.recordRTT(h, s.rtt)
 		if math.Abs(h.rtt-s.want) > 1e-12 {
 			t.Errorf("%s: estimate %v, want %v", s.name, h.rtt, s.want)
 		}
 	}
-	g.b.gap.mean = 0
+	g.b.sampleGap.mean = 0
 	g.b.now += Time(tau * 1e9)
-	if got, want := g.b.estimate(h), 0.02/math.E; math.Abs(got-want) > 1e-9 {
+	if got, want := g.b.decayedRTT(h), 0.02/math.E; math.Abs(got-want) > 1e-9 {
 		t.Errorf("read one decay later: %v, want %v", got, want)
 	}
 	if h.rtt != 0.02 {
@@ -48,10 +48,10 @@
 	h := g.b.hosts[0]
 	for range 40 {
 		g.b.now += 5 * time.Second
-		g.b.sample(h, 0.2)
+		g.b.recordRTT(h, 0.2)
 	}
 	g.b.now += 5 * time.Second
-	if got := g.b.estimate(h); got < 0.15 {
+	if got := g.b.decayedRTT(h); got < 0.15 {
 		t.Errorf("estimate %v a gap of 5 s after samples of 0.2", got)
 	}
 }
@@ -62,12 +62,12 @@
 	took := func(h HostID) time.Duration { return time.Duration(h) * 40 * ms }
 	g.serve(600, 0, took) // the slow one is asked now and then, once it is known to be
 	g.list(ListChanges, Host{ID: 3, Kind: 1}, Host{ID: 4, Kind: 2})
-	fast, slow := g.b.estimate(g.b.byID[3]), g.b.estimate(g.b.byID[4])
+	fast, slow := g.b.decayedRTT(g.b.byID[3]), g.b.decayedRTT(g.b.byID[4])
 	if fast < 0.03 || slow < 1.5*fast {
 		t.Errorf("seeds %v and %v, with kinds at 0.04 and 0.08", fast, slow)
 	}
 	g.b.now += 5 * time.Minute
-	if got := g.b.estimate(g.b.byID[4]); got > slow/2 {
+	if got := g.b.decayedRTT(g.b.byID[4]); got > slow/2 {
 		t.Errorf("seed still %v after five minutes", got)
 	}
 }
@@ -117,7 +117,7 @@
 	for _, tt := range tests {
 		g := start(t, basic(), hosts(2)...)
 		for i, h := range g.b.hosts {
-			h.fresh, h.rtt, h.rttAt, h.pending, h.limit = false, tt.rtt[i], g.now, tt.pending[i], 10
+			h.unsampled, h.rtt, h.rttAt, h.pending, h.limit = false, tt.rtt[i], g.now, tt.pending[i], 10
 		}
 		for range 20 {
 			if got := g.b.pick(&request{class: &g.b.set.Classes[0]}); got != g.b.hosts[tt.wantHost] {
@@ -132,7 +132,7 @@
 func TestTwoAreDrawn(t *testing.T) {
 	g := start(t, basic(), hosts(4)...)
 	for i, h := range g.b.hosts {
-		h.fresh, h.rtt, h.rttAt = false, float64(i+1), g.now
+		h.unsampled, h.rtt, h.rttAt = false, float64(i+1), g.now
 	}
 	got := map[HostID]int{}
 	for range 6000 {
@@ -369,7 +369,7 @@
 	id := g.request(0, 500*ms)
 	g.b.RequestBodyPending(g.now, id, 0)
 	h := g.b.hosts[0]
-	if h.pending != 0 || h.streams != 1 || h.flight.head != nil {
+	if h.pending != 0 || h.streams != 1 || h.inFlight.head != nil {
 		t.Errorf("fed: %d attempts and %d streams at the host", h.pending, h.streams)
 	}
 	if done := g.advance(time.Minute); len(done) != 0 {
@@ -384,7 +384,7 @@
 		t.Errorf("sent: %d attempts and %d streams at the host", h.pending, h.streams)
 	}
 	g.b.ResponseStreaming(g.now, id, 0, OK, 10*ms)
-	if h.rtt > 0.1 || h.fresh {
+	if h.rtt > 0.1 || h.unsampled {
 		t.Errorf("the host's estimate is %v s", h.rtt)
 	}
 	before := h.rtt
@@ -442,7 +442,7 @@
 	}
 	id := g.request(0, 500*ms)
 	g.b.ResponseStreaming(g.now, id, 0, OK, 10*ms)
-	at := g.b.reqs[id].atts[0].host
+	at := g.b.reqs[id].attempts[0].host
 	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Closed: true})
 	if at.ejectUntil <= g.now {
 		t.Error("a host whose answers break off stays in use")
--- a/ban_test.go
+++ b/ban_test.go
@@ -108,20 +108,20 @@
 	g.b.Ban(g.now, last, false)
 	g.b.Ban(g.now, last, false)
 	h := g.b.byID[last]
-	if !h.cold || !h.fresh || h.coldAt != g.now {
-		t.Errorf("called back it is cold %v, new %v", h.cold, h.fresh)
+	if !h.cold || !h.unsampled || h.coldAt != g.now {
+		t.Errorf("called back it is cold %v, new %v", h.cold, h.unsampled)
 	}
 	from, met := g.now, 0
 	for met < 3 && g.now-from < 5*time.Second {
 		id := g.request(0, time.Second)
 		g.advance(5 * ms)
-		switch a := g.b.reqs[id].atts[0]; {
+		switch a := g.b.reqs[id].attempts[0]; {
 		case a.host.ID != last:
 			g.outcome(id, 0, OK, 5*ms)
 		case met < 2: // it comes up late
 			met++
 			g.outcome(id, 0, ConnectFailed, 5*ms)
-			if g.b.reqs[id] != nil && len(g.b.reqs[id].atts) > 1 {
+			if g.b.reqs[id] != nil && len(g.b.reqs[id].attempts) > 1 {
 				g.outcome(id, 1, OK, 5*ms)
 			}
 		default:
--- a/coldhost.go
+++ b/coldhost.go
@@ -5,7 +5,7 @@
 
 import "math"
 
-func (b *Balancer) chill(h *host, since Time) {
+func (b *Balancer) markCold(h *host, since Time) {
 	if b.set.ColdFrom < 1 && b.now-since < b.set.WarmAfter {
 		h.cold, h.coldAt, h.staggered = true, since, false
 	}
@@ -14,11 +14,11 @@
 // startOf is when a host started, as far as its own word may be taken: it is told by a clock that may
 // be off by any time from this instance's. No start lies far ahead, and one that is news did not
 // happen long ago. One that lies ahead by less has the pace of its first moment until then.
-func (b *Balancer) startOf(e *Host, kind ListKind) Time {
-	if e.Started-b.now > startAhead || kind == ListChanges && b.now-e.Started > newsWithin {
+func (b *Balancer) startTime(entry *Host, kind ListKind) Time {
+	if entry.Started-b.now > maxStartAhead || kind == ListChanges && b.now-entry.Started > maxReportedStartAge {
 		return b.now
 	}
-	return e.Started
+	return entry.Started
 }
 
 // coldHold paces sends to a host that has just started, so that the fleet as a whole stays
@@ -26,18 +26,18 @@
 // part of the budget. Each whole one lapses by itself where it is not used soon (or where it is
 // the only one of the fleet): so instances keep their places in the cycle, which ranks spread
 // evenly, whatever traffic they have (docs/design/endings.md has the bound and its proof).
-func (b *Balancer) coldHold(h *host) bool {
+func (b *Balancer) coldBlocked(h *host) bool {
 	age := max(0, b.now-h.coldAt)
 	if h.cold = h.cold && age < b.set.WarmAfter; !h.cold {
 		return false
 	}
 	if !h.staggered { // as if it had counted from the start; what fell due before it heard is not its
-		_, h.credit = math.Modf(b.stagger(h) + b.coldRate(h, age/2)*age.Seconds())
+		_, h.credit = math.Modf(b.cycleOffset(h) + b.coldRate(h, age/2)*age.Seconds())
 		h.creditAt, h.staggered = b.now, true
 	}
 	if dt := b.now - h.creditAt; dt > 0 {
 		n, fleet := b.coldRate(h, age)*b.set.Fall.Seconds(), max(1, h.sharers)
-		lapse := max(n*min(0.5, coldLapse/math.Sqrt(n*fleet)), 1/fleet)
+		lapse := max(n*min(0.5, coldCreditDeviations/math.Sqrt(n*fleet)), 1/fleet)
 		h.credit += n * float64(dt) / float64(b.set.Fall)
 		if over := h.credit - lapse; over >= 1 {
 			h.credit = lapse + math.Mod(over, 1)
@@ -54,10 +54,10 @@
 // count of requests of exponential work: the root of twice the mean, or of the mean alone where
 // one instance paces them evenly) under the budget.
 func (b *Balancer) coldRate(h *host, age Time) float64 {
-	fleet, fall := max(1, h.sharers)*max(1, b.twins), b.set.Fall.Seconds()
+	fleet, fall := max(1, h.sharers)*max(1, b.siblings), b.set.Fall.Seconds()
 	share := b.set.ColdFrom + (1-b.set.ColdFrom)*float64(age)/float64(b.set.WarmAfter)
-	capacity := max(b.warmRate()/max(1, b.slower(h)), 1/b.aim.Seconds())
-	c := coldChance * coldChance / 2 * (1 - 1/(2*fleet))
+	capacity := max(b.warmRate()/max(1, b.kindSlowdown(h)), 1/b.shortestAim.Seconds())
+	c := coldBudgetDeviations * coldBudgetDeviations / 2 * (1 - 1/(2*fleet))
 	root := math.Sqrt(capacity*share*b.set.OverloadFactor*fall+c) - math.Sqrt(c)
 	return root * root / (fall * fleet)
 }
@@ -68,15 +68,15 @@
 // last learnt stays. One that began lately is made up for the time before, or instances that
 // start together would give cold hosts next to nothing.
 func (b *Balancer) warmRate() float64 {
-	rate, since := b.served, (b.now - b.servedFrom).Seconds()
-	if b.warm > 0 {
-		rate *= math.Exp(-(b.now - b.servedAt).Seconds() / b.span)
+	rate, since := b.servedRate, (b.now - b.servedFrom).Seconds()
+	if b.warmHosts > 0 {
+		rate *= math.Exp(-(b.now - b.servedAt).Seconds() / b.rateSpan)
 	}
-	return rate / max(rateLeast, 1-math.Exp(-since/b.span))
+	return rate / max(minRateFraction, 1-math.Exp(-since/b.rateSpan))
 }
 
 // stagger is this instance's place in the cycle of sends to a cold host: steps of the golden ratio spread
 // any run of neighbours on the ring evenly, and each host has an order of its own.
-func (b *Balancer) stagger(h *host) float64 {
-	return b.shared.Place*float64(b.shared.Most)*math.Phi + float64(h.place)/math.MaxUint64
+func (b *Balancer) cycleOffset(h *host) float64 {
+	return b.fleetInfo.Place*float64(b.fleetInfo.Most)*math.Phi + float64(h.position)/math.MaxUint64
 }
--- a/coldhost_test.go
+++ b/coldhost_test.go
@@ -51,7 +51,7 @@
 		g.now += idle
 		g.list(ListFull, Host{ID: 1}, Host{ID: 2, Started: g.now})
 		h := g.b.byID[2]
-		if rate := g.b.coldRate(h, 0); !g.b.coldHold(h) || rate <= 0 || rate > 1 {
+		if rate := g.b.coldRate(h, 0); !g.b.coldBlocked(h) || rate <= 0 || rate > 1 {
 			t.Errorf("cold host is sent %v a second after %v, want a little", rate, idle)
 		}
 		g.list(ListFull, Host{ID: 1})
@@ -113,7 +113,7 @@
 			set.Rank = i
 			g := start(t, set, hosts(3)[:2]...)
 			g.b.rng = uint64(i) * 7919
-			g.b.served, g.b.servedAt = 20, g.now // as after a while of such traffic
+			g.b.servedRate, g.b.servedAt = 20, g.now // as after a while of such traffic
 			for _, h := range g.b.hosts {
 				h.limit = 1e4
 			}
@@ -184,8 +184,8 @@
 		h := g.b.byID[3]
 		h.sharers = float64(fleet)
 		held := func(now Time) bool {
-			g.b.now, g.b.served, g.b.servedAt = now, rate, now
-			return g.b.coldHold(h)
+			g.b.now, g.b.servedRate, g.b.servedAt = now, rate, now
+			return g.b.coldBlocked(h)
 		}
 		begin := g.now
 		for now := begin; now < begin+idle; now += 50 * ms { // as with requests that go elsewhere
@@ -259,7 +259,7 @@
 		set := basic()
 		set.Instances = fleet
 		g := start(t, set, hosts(10)...)
-		g.b.admit = 1
+		g.b.admitted = 1
 		g.serve(100, 0, func(HostID) time.Duration { return 10 * ms }) // a second of 100
 		want := 100 * float64(fleet) / 10
 		if r := g.b.warmRate(); r < want*0.7 || r > want*1.3 {
@@ -282,10 +282,10 @@
 		h.credit, h.creditAt = 1, g.b.now // all have credit
 	}
 	g.b.pick(&request{class: &g.b.set.Classes[0]})
-	if n := len(g.b.ready); n > subsetLeast {
-		t.Errorf("draws from %d cold hosts, want at most %d", n, subsetLeast)
+	if n := len(g.b.readyScratch); n > minSubset {
+		t.Errorf("draws from %d cold hosts, want at most %d", n, minSubset)
 	}
-	if got, want := g.b.hosts[0].sharers, 240.0*subsetLeast/40; got < want-0.1 || got > want+0.1 {
+	if got, want := g.b.hosts[0].sharers, 240.0*minSubset/40; got < want-0.1 || got > want+0.1 {
 		t.Errorf("a cold host counts %v sharers, want %v", got, want)
 	}
 }
@@ -301,7 +301,7 @@
 		h.Started = g.now + off
 		g.list(ListChanges, h)
 		k := g.b.byID[3]
-		if !g.b.coldHold(k) && k.credit < 1 || !k.cold || math.IsNaN(k.credit) {
+		if !g.b.coldBlocked(k) && k.credit < 1 || !k.cold || math.IsNaN(k.credit) {
 			t.Errorf("off by %v: it is not paced: cold %v, credit %v", off, k.cold, k.credit)
 		}
 		return g, g.b.coldRate(k, max(0, g.now-k.coldAt))
@@ -313,7 +313,7 @@
 			t.Errorf("off by %v: paced at %v a second, right were %v", off, rate, right)
 		}
 		g.serve(2000, 0, func(HostID) time.Duration { return 10 * ms }) // 20 s
-		if k := g.b.byID[3]; g.b.coldHold(k) || k.cold {
+		if k := g.b.byID[3]; g.b.coldBlocked(k) || k.cold {
 			t.Errorf("off by %v: it is cold for ever", off)
 		}
 	}
--- a/eject_test.go
+++ b/eject_test.go
@@ -33,7 +33,7 @@
 		g.outcome(id, 0, OK, ms)
 	}
 	g.outcome(trial, 0, OK, ms)
-	if h := g.b.hosts[0]; h.fails != 0 {
+	if h := g.b.hosts[0]; h.ejections != 0 {
 		t.Error("still ejected after the trial's answer")
 	}
 }
@@ -66,7 +66,7 @@
 				end(sendsOf(g.advance(ms)))
 			}
 		}
-		first := time.Duration(retryAims * float64(g.b.aim))
+		first := time.Duration(firstReconnectAims * float64(g.b.shortestAim))
 		if served < 0 || served > 3*moment+2*first {
 			t.Errorf("connections failed for %v, and the first was tried behind it after %v", moment, served)
 		}
@@ -92,7 +92,7 @@
 	g := start(t, basic(), hosts(4)...)
 	id := g.sentTo(1, ms)
 	g.outcome(id, 0, Failed, ms)
-	if g.b.hosts[0].fails > 0 {
+	if g.b.hosts[0].ejections > 0 {
 		t.Fatal("ejected for one error in many answers")
 	}
 	g.outcome(id, 1, OK, ms)
@@ -114,7 +114,7 @@
 	if h := g.b.hosts[0]; !g.b.ejected(unsafe, h) || g.b.ejected(&request{class: &g.b.set.Classes[0]}, h) {
 		t.Error("want the trial kept for a safe request first")
 	}
-	g.b.now += trialAims * g.b.aim
+	g.b.now += safeProbeAims * g.b.shortestAim
 	if g.b.ejected(unsafe, g.b.hosts[0]) {
 		t.Error("no trial at all where no safe request comes")
 	}
@@ -131,7 +131,7 @@
 		t.Fatalf("%d sends to the silent host", got[1])
 	}
 	g.outcome(held, 0, OK, 250*ms) // it only paused
-	if h := g.b.hosts[0]; h.fails != 0 {
+	if h := g.b.hosts[0]; h.ejections != 0 {
 		t.Error("still ejected after its answer")
 	}
 	g.advance(10 * time.Second) // its one long RTT decays
@@ -151,7 +151,7 @@
 		g.advance(20 * ms)
 		g.outcome(id, 0, OK, 10*ms)
 	}
-	if g.b.hosts[0].fails != 0 {
+	if g.b.hosts[0].ejections != 0 {
 		t.Error("ejected")
 	}
 }
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -29,11 +29,11 @@
 			most := live + rapid.IntRange(0, live).Draw(rt, "more") // those that failed or are cut off
 			least := rapid.IntRange((live+1)/2, max((live+1)/2, most-1)).Draw(rt, "least")
 			_, place := math.Modf(offset + float64(n)/float64(live))
-			g.b.served, g.b.servedAt, g.b.servedFrom = warm, g.now, g.now-time.Hour
+			g.b.servedRate, g.b.servedAt, g.b.servedFrom = warm, g.now, g.now-time.Hour
 			g.b.Fleet(g.now, Fleet{Place: place, Least: least, Most: most})
 			h := g.b.byID[list[cold].ID]
-			for i, x := range g.b.ring[:min(g.b.subset, len(g.b.ring))] {
-				if x == h && h.mine && i < g.b.subset {
+			for i, x := range g.b.ring[:min(g.b.subsetSize, len(g.b.ring))] {
+				if x == h && h.usableCold && i < g.b.subsetSize {
 					sum += g.b.coldRate(h, time.Second)
 				}
 			}
@@ -54,24 +54,24 @@
 	set.Instances, set.Rank = 40, 7
 	set.Tenants = []Tenant{{Quota: 400}}
 	g := start(t, set, hosts(60)...)
-	if g.b.subset != 6 || g.b.quota[0].rate != 10 {
-		t.Fatalf("typed: %d hosts, %v a second", g.b.subset, g.b.quota[0].rate)
+	if g.b.subsetSize != 6 || g.b.quotas[0].rate != 10 {
+		t.Fatalf("typed: %d hosts, %v a second", g.b.subsetSize, g.b.quotas[0].rate)
 	}
-	before := g.b.shared
+	before := g.b.fleetInfo
 	for _, k := range []Fleet{{}, {Place: 1, Least: 1, Most: 1}, {Place: math.NaN(), Least: 1, Most: 1}, {Place: 0, Least: 3, Most: 2}, {Least: -1, Most: 5}} {
-		if g.b.Fleet(g.now, k); g.b.shared != before {
+		if g.b.Fleet(g.now, k); g.b.fleetInfo != before {
 			t.Errorf("%+v is taken", k)
 		}
 	}
 	g.b.Fleet(g.now, Fleet{Place: 0.5, Least: 20, Most: 50})
-	if g.b.subset != 12 || g.b.fleet != 50 || g.b.quota[0].rate != 8 || g.b.ring[0] != g.b.places[30] {
-		t.Errorf("by a view: %d hosts, %v share, %v a second", g.b.subset, g.b.fleet, g.b.quota[0].rate)
+	if g.b.subsetSize != 12 || g.b.fleetSize != 50 || g.b.quotas[0].rate != 8 || g.b.ring[0] != g.b.byPosition[30] {
+		t.Errorf("by a view: %d hosts, %v share, %v a second", g.b.subsetSize, g.b.fleetSize, g.b.quotas[0].rate)
 	}
 	// Two that agree on nothing but the order of places still use every host between them.
 	used := map[HostID]bool{}
 	for n := range 10 {
 		g.b.Fleet(g.now, Fleet{Place: float64(n) / 10, Least: 5 + n, Most: 20})
-		for _, h := range g.b.ring[:g.b.subset] {
+		for _, h := range g.b.ring[:g.b.subsetSize] {
 			used[h.ID] = true
 		}
 	}
--- a/harness_test.go
+++ b/harness_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-func (b *Balancer) drainQuiet() { b.acts = b.acts[:0] }
+func (b *Balancer) drainQuiet() { b.actions = b.actions[:0] }
 
 // running returns a Balancer with twelve hosts, and its time.
 func running(tb testing.TB) (*Balancer, Time) {
--- a/hosthealth_test.go
+++ b/hosthealth_test.go
@@ -12,12 +12,12 @@
 	down := func(id HostID) {
 		g.b.HostHealth(g.now, HostHealth{Host: id, Doubt: 1, Down: true, Until: g.now + 3*time.Second})
 	}
-	out := func(id HostID) bool { return g.b.byID[id].fails > 0 }
+	out := func(id HostID) bool { return g.b.byID[id].ejections > 0 }
 	down(1)
 	if out(1) {
 		t.Error("a host that has just been heard of is ejected")
 	}
-	g.advance(saidAims * g.b.aim)
+	g.advance(ownAnswerAims * g.b.shortestAim)
 	g.b.HostHealth(g.now, HostHealth{Host: 1, Down: true, Until: g.now})
 	g.b.HostHealth(g.now, HostHealth{Host: 99, Down: true, Until: g.now + time.Second})
 	if out(1) {
@@ -47,7 +47,7 @@
 // that is longer notwithstanding, and one whose turn it is tries at once.
 func TestOthersTryAHost(t *testing.T) {
 	g := start(t, basic(), hosts(4)...)
-	g.advance(saidAims * g.b.aim)
+	g.advance(ownAnswerAims * g.b.shortestAim)
 	h := g.b.byID[1]
 	hear := func(down, wait bool) {
 		g.b.HostHealth(g.now, HostHealth{Host: 1, Down: down, Wait: wait, Until: g.now + 3*time.Second})
@@ -62,16 +62,16 @@
 	}
 	h.ejectUntil = g.now + time.Hour
 	hear(false, false)
-	if wait := h.ejectUntil - g.now; wait > saidAims*g.b.aim || h.fails == 0 {
-		t.Errorf("others were answered, and it is tried in %v at the earliest, fails %d", wait, h.fails)
+	if wait := h.ejectUntil - g.now; wait > ownAnswerAims*g.b.shortestAim || h.ejections == 0 {
+		t.Errorf("others were answered, and it is tried in %v at the earliest, fails %d", wait, h.ejections)
 	}
 	hear(true, true)
 	hear(true, false)
-	if h.waits || h.ejectUntil > g.now+saidAims*g.b.aim {
+	if h.peersProbe || h.ejectUntil > g.now+ownAnswerAims*g.b.shortestAim {
 		t.Error("whose turn it is waits")
 	}
-	g.advance(saidAims * g.b.aim)
-	if got := g.serve(20, 0, took); got[1] == 0 || h.fails > 0 {
+	g.advance(ownAnswerAims * g.b.shortestAim)
+	if got := g.serve(20, 0, took); got[1] == 0 || h.ejections > 0 {
 		t.Errorf("nobody tried it: %v", got)
 	}
 }
@@ -96,13 +96,13 @@
 	h := hosts(4)[0]
 	h.Started = g.now
 	g.list(ListChanges, h)
-	if g.b.until(g.b.byID[1].doubt, g.b.byID[1].doubtUntil) > 0 {
+	if g.b.unlessExpired(g.b.byID[1].suspicion, g.b.byID[1].suspicionUntil) > 0 {
 		t.Error("a doubt outlives the host's start")
 	}
 	hear(1)
 	g.advance(time.Hour)
 	g.b.Usable(g.now, 0)
-	if g.b.until(g.b.byID[1].doubt, g.b.byID[1].doubtUntil) > 0 {
+	if g.b.unlessExpired(g.b.byID[1].suspicion, g.b.byID[1].suspicionUntil) > 0 {
 		t.Error("a doubt outlives its time")
 	}
 }
@@ -114,8 +114,8 @@
 	g.serve(60, 0, took)
 	g.b.PeerLoad(g.now, Crowd{Host: 1, Out: 1000, Until: g.now + time.Hour})
 	g.b.PeerLoad(g.now, Crowd{Host: 99, Out: 1, Until: g.now + time.Hour})
-	if got := g.serve(400, 0, took); got[1] == 0 || got[1] > 400/blindIn {
-		t.Errorf("a host of which others say that it is full got %v, want some, %d at most", got, 400/blindIn)
+	if got := g.serve(400, 0, took); got[1] == 0 || got[1] > 400/ignorePeerLoadEvery {
+		t.Errorf("a host of which others say that it is full got %v, want some, %d at most", got, 400/ignorePeerLoadEvery)
 	}
 	g.advance(time.Hour)
 	if got := g.serve(300, 0, took); got[1] < 60 {
--- a/hosts_test.go
+++ b/hosts_test.go
@@ -30,8 +30,8 @@
 		}
 	}
 	for _, h := range g.b.hosts {
-		if h.limit < before || h.fails > 0 || h.lat.mean > 0.1 {
-			t.Errorf("host %x: limit %v of %v, %d ejections, mean %v s", h.ID, h.limit, before, h.fails, h.lat.mean)
+		if h.limit < before || h.ejections > 0 || h.recentRTT.mean > 0.1 {
+			t.Errorf("host %x: limit %v of %v, %d ejections, mean %v s", h.ID, h.limit, before, h.ejections, h.recentRTT.mean)
 		}
 	}
 	for range 20 { // slow without a stall
@@ -166,7 +166,7 @@
 			h = x
 		}
 	}
-	if most := (hintAims * g.b.aim).Seconds(); h.rtt < most*0.99 || h.rtt > most {
+	if most := (maxRetryHintAims * g.b.shortestAim).Seconds(); h.rtt < most*0.99 || h.rtt > most {
 		t.Errorf("the estimate is %v s, want the bound of the hint %v", h.rtt, most)
 	}
 	at := 0
@@ -181,7 +181,7 @@
 	if at > 2 {
 		t.Errorf("%d of 100 requests go to a host that wants to be left alone", at)
 	}
-	if h.fails > 0 {
+	if h.ejections > 0 {
 		t.Error("it is ejected for it")
 	}
 }
--- a/load_test.go
+++ b/load_test.go
@@ -16,7 +16,7 @@
 			out[a.Request] = true
 		}
 	}
-	if most := 2 * limitStart; len(out) != most {
+	if most := 2 * initialHostLimit; len(out) != most {
 		t.Fatalf("%d in flight at two new hosts, want %d", len(out), most)
 	}
 	worth := g.request(2, time.Second)
@@ -72,24 +72,24 @@
 	h := g.b.hosts[0]
 	for range 40 {
 		g.b.now += 300 * ms
-		g.b.adjust(h, 0.8, g.b.now)
+		g.b.adjustLimit(h, 0.8, g.b.now)
 	}
-	if h.limit != limitLeast {
+	if h.limit != minHostLimit {
 		t.Errorf("limit %v after slow answers, want the least", h.limit)
 	}
 	g.b.now += time.Second
 	for range 20 {
 		g.b.now += 300 * ms
-		g.b.adjust(h, 0.01, g.b.now)
+		g.b.adjustLimit(h, 0.01, g.b.now)
 	}
-	if h.limit != limitLeast {
+	if h.limit != minHostLimit {
 		t.Errorf("limit %v, want no growth while nothing waits", h.limit)
 	}
 	g.b.queued = 1
 	for range 60 {
 		g.b.now += 300 * ms
 		h.pending = int(h.limit) - 1
-		g.b.adjust(h, 0.01, g.b.now)
+		g.b.adjustLimit(h, 0.01, g.b.now)
 	}
 	if h.limit < 4 {
 		t.Errorf("limit %v, want it to grow while requests wait", h.limit)
@@ -102,17 +102,17 @@
 	g := start(t, basic(), hosts(1)...)
 	h := g.b.hosts[0]
 	h.limit = 40
-	target := limitAims * g.b.aim.Seconds()
+	target := limitRTTAims * g.b.shortestAim.Seconds()
 	sent := g.b.now
 	g.b.now += 300 * ms
 	for range 5 { // the answers of one round
-		g.b.adjust(h, 2*target, sent)
+		g.b.adjustLimit(h, 2*target, sent)
 	}
 	if math.Abs(h.limit-20) > 1e-9 {
 		t.Fatalf("limit %v after a round at twice the target, want half of 40", h.limit)
 	}
 	g.b.now += 300 * ms
-	g.b.adjust(h, 2*target, g.b.now-300*ms)
+	g.b.adjustLimit(h, 2*target, g.b.now-300*ms)
 	if math.Abs(h.limit-10) > 1e-9 {
 		t.Errorf("limit %v after the next round, want a quarter of 40", h.limit)
 	}
@@ -128,7 +128,7 @@
 	g.sole(Send)
 	g.now += ms
 	g.outcome(id, 0, Full, ms)
-	if h := g.b.hosts[0]; h.limit >= limitStart {
+	if h := g.b.hosts[0]; h.limit >= initialHostLimit {
 		t.Errorf("limit %v, want it cut", h.limit)
 	}
 }
@@ -139,7 +139,7 @@
 	set := basic()
 	set.Instances = 240
 	g := start(t, set, hosts(48)...)
-	g.b.admit = 1
+	g.b.admitted = 1
 	for range 40 {
 		id := g.request(0, time.Second)
 		g.sole(Send)
@@ -154,7 +154,7 @@
 	set := basic()
 	set.Instances = 40
 	g := start(t, set, hosts(20)...)
-	g.b.admit = 1
+	g.b.admitted = 1
 	play := func(took time.Duration) (refused [3]int) {
 		for i := range 300 {
 			id := g.request(i%3, time.Second)
@@ -195,8 +195,8 @@
 			}
 		}
 	}
-	if g.b.admit > 0.5 {
-		t.Errorf("%.2f of requests admitted with no answer by any deadline", g.b.admit)
+	if g.b.admitted > 0.5 {
+		t.Errorf("%.2f of requests admitted with no answer by any deadline", g.b.admitted)
 	}
 	if h := g.b.ring[0]; h.rtt < 0.4 {
 		t.Errorf("estimate %v of a host that answered nothing within 0.49 s", h.rtt)
@@ -272,7 +272,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			g := start(t, basic(), hosts(1)...)
-			for range limitStart {
+			for range initialHostLimit {
 				g.request(0, time.Second)
 			}
 			tt.repeat.ID = 1000
@@ -298,7 +298,7 @@
 	set := basic()
 	set.Instances = 80
 	g := start(t, set, hosts(60)...)
-	g.b.admit = 1
+	g.b.admitted = 1
 	full := g.b.ring[0]
 	sent, served := 0, 0
 	for range 300 {
@@ -326,7 +326,7 @@
 		}
 		g.advance(10 * ms)
 	}
-	if full.fails > 0 {
+	if full.ejections > 0 {
 		t.Error("a host with a full table is ejected as broken")
 	}
 	if served < 295 || sent > 30 {
--- a/memory.go
+++ b/memory.go
@@ -74,7 +74,7 @@
 
 // mean gives it back where samples between -most and most can have made it.
 func (m EvidenceMemory) mean(now Time, most float64) evidence.Mean {
-	if !sane(m.N) || !sane(m.Sq) || m.N > heldMost || !(math.Abs(m.Sum) <= m.N*most) || m.Sq > m.N*most*most || m.Age < 0 {
+	if !sane(m.N) || !sane(m.Sq) || m.N > maxSampleWeight || !(math.Abs(m.Sum) <= m.N*most) || m.Sq > m.N*most*most || m.Age < 0 {
 		return evidence.Mean{}
 	}
 	return evidence.Mean{N: m.N, Sum: m.Sum, Sq: m.Sq, At: now - m.Age}
@@ -97,24 +97,24 @@
 
 // Memory is what has been learned up to now.
 func (b *Balancer) Memory(now Time) Memory {
-	m := Memory{Version: MemoryVersion, Admit: b.admit, Late: evidenceMemory(&b.late, now), Works: evidenceMemory(&b.works, now), Worth: b.worth.memory(now), Gap: b.gap.memory(now),
-		All: b.all.memory(now), Served: b.served, Warm: b.warm}
+	m := Memory{Version: MemoryVersion, Admit: b.admitted, Late: evidenceMemory(&b.latenessEvidence, now), Works: evidenceMemory(&b.relativeTimes, now), Worth: b.meanWorth.memory(now), Gap: b.sampleGap.memory(now),
+		All: b.meanRTT.memory(now), Served: b.servedRate, Warm: b.warmHosts}
 	if b.servedAt > 0 {
 		m.ServedAge, m.ServedFor = now-b.servedAt, now-b.servedFrom
 	}
-	for i := range b.lat {
-		m.Classes = append(m.Classes, b.lat[i].memory(now))
+	for i := range b.classRTT {
+		m.Classes = append(m.Classes, b.classRTT[i].memory(now))
 	}
-	for i := range b.kinds {
-		m.Kinds = append(m.Kinds, evidenceMemory(&b.kinds[i], now))
+	for i := range b.kindTimes {
+		m.Kinds = append(m.Kinds, evidenceMemory(&b.kindTimes[i], now))
 	}
 	for id := range b.banned {
 		m.Banned = append(m.Banned, id)
 	}
 	for _, h := range b.hosts {
-		o := HostMemory{ID: h.ID, Fresh: h.fresh, Faulty: h.faulty, Slow: evidenceMemory(&h.slow, now), RTT: h.rtt, Age: now - h.rttAt, Limit: h.limit, Lat: h.lat.memory(now), Fails: h.fails,
-			Down: h.down, Good: h.good, Out: max(0, h.ejectUntil-now), Cold: h.cold, ColdFor: now - h.coldAt, Started: h.Started, HeardAge: now - h.heard}
-		for _, owed := range b.owing {
+		o := HostMemory{ID: h.ID, Fresh: h.unsampled, Faulty: h.penalized, Slow: evidenceMemory(&h.relativeTimes, now), RTT: h.rtt, Age: now - h.rttAt, Limit: h.limit, Lat: h.recentRTT.memory(now), Fails: h.ejections,
+			Down: h.down, Good: h.answersSinceError, Out: max(0, h.ejectUntil-now), Cold: h.cold, ColdFor: now - h.coldAt, Started: h.Started, HeardAge: now - h.answeredAt}
+		for _, owed := range b.reinstated {
 			o.Owed = o.Owed || owed == h
 		}
 		m.Hosts = append(m.Hosts, o)
@@ -134,41 +134,41 @@
 		b.Ban(now, id, true)
 	}
 	if m.Admit > 0 && m.Admit <= 1 {
-		b.admit = m.Admit
+		b.admitted = m.Admit
 	}
-	b.late, b.works = m.Late.mean(now, 1), m.Works.mean(now, mostTimes)
-	b.worth, b.gap, b.all = m.Worth.mean(now), m.Gap.mean(now), m.All.mean(now)
-	for i := range m.Classes[:min(len(m.Classes), len(b.lat))] {
-		b.lat[i] = m.Classes[i].mean(now)
+	b.latenessEvidence, b.relativeTimes = m.Late.mean(now, 1), m.Works.mean(now, mostTimes)
+	b.meanWorth, b.sampleGap, b.meanRTT = m.Worth.mean(now), m.Gap.mean(now), m.All.mean(now)
+	for i := range m.Classes[:min(len(m.Classes), len(b.classRTT))] {
+		b.classRTT[i] = m.Classes[i].mean(now)
 	}
-	for i := range m.Kinds[:min(len(m.Kinds), len(b.kinds))] {
-		b.kinds[i] = m.Kinds[i].mean(now, mostTimes)
+	for i := range m.Kinds[:min(len(m.Kinds), len(b.kindTimes))] {
+		b.kindTimes[i] = m.Kinds[i].mean(now, mostTimes)
 	}
 	if sane(m.Served) && m.ServedFor > 0 && m.ServedAge >= 0 {
-		b.served, b.servedAt, b.servedFrom = m.Served, now-m.ServedAge, now-m.ServedFor
+		b.servedRate, b.servedAt, b.servedFrom = m.Served, now-m.ServedAge, now-m.ServedFor
 	}
 	for i := range m.Hosts {
 		o := &m.Hosts[i]
 		h := b.byID[o.ID]
-		if h == nil || h.Started != o.Started || !sane(o.RTT) || !(o.Limit >= limitLeast) || o.Age < 0 || o.ColdFor < 0 || o.HeardAge < 0 || o.Fails < 0 {
+		if h == nil || h.Started != o.Started || !sane(o.RTT) || !(o.Limit >= minHostLimit) || o.Age < 0 || o.ColdFor < 0 || o.HeardAge < 0 || o.Fails < 0 {
 			continue
 		}
-		h.fresh, h.rtt, h.rttAt, h.limit, h.lat = o.Fresh, o.RTT, now-o.Age, o.Limit, o.Lat.mean(now)
-		h.fails, h.down, h.good, h.ejectUntil = o.Fails, o.Down, o.Good, now+min(max(o.Out, 0), time.Minute)
-		h.heard, h.faulty, h.slow = now-o.HeardAge, o.Faulty, o.Slow.mean(now, mostTimes)
+		h.unsampled, h.rtt, h.rttAt, h.limit, h.recentRTT = o.Fresh, o.RTT, now-o.Age, o.Limit, o.Lat.mean(now)
+		h.ejections, h.down, h.answersSinceError, h.ejectUntil = o.Fails, o.Down, o.Good, now+min(max(o.Out, 0), time.Minute)
+		h.answeredAt, h.penalized, h.relativeTimes = now-o.HeardAge, o.Faulty, o.Slow.mean(now, mostTimes)
 		if h.cold = h.cold || o.Cold; o.Cold {
 			h.coldAt = now - o.ColdFor
 		}
 		if o.Owed {
-			b.owing = append(b.owing, h)
+			b.reinstated = append(b.reinstated, h)
 		}
 	}
-	b.layRing()
+	b.rebuildRing()
 }
 
 // Twins says how many processes are this one instance now: they share its part of what cold
 // hosts may get.
 func (b *Balancer) Twins(now Time, n int) {
 	b.now = now
-	b.twins = float64(max(1, n))
+	b.siblings = float64(max(1, n))
 }
--- a/memory_test.go
+++ b/memory_test.go
@@ -34,24 +34,24 @@
 	for _, h := range g.b.hosts {
 		k := n.b.byID[h.ID]
 		switch {
-		case h.ID == 3 && !(k.fresh && k.cold):
-			t.Errorf("host 3 has started anew: fresh %v, cold %v", k.fresh, k.cold)
+		case h.ID == 3 && !(k.unsampled && k.cold):
+			t.Errorf("host 3 has started anew: fresh %v, cold %v", k.unsampled, k.cold)
 		case h.ID == 3:
-		case math.Abs(k.rtt-h.rtt) > 1e-9 || k.limit != h.limit || k.fails != h.fails || k.cold != h.cold || k.fresh != h.fresh || k.State != h.State:
+		case math.Abs(k.rtt-h.rtt) > 1e-9 || k.limit != h.limit || k.ejections != h.ejections || k.cold != h.cold || k.unsampled != h.unsampled || k.State != h.State:
 			t.Errorf("host %d: %+v\nwant %+v", h.ID, k, h)
-		case h.fails > 0 && (k.ejectUntil-n.now) != (h.ejectUntil-g.now):
+		case h.ejections > 0 && (k.ejectUntil-n.now) != (h.ejectUntil-g.now):
 			t.Errorf("host %d is out for %v, want %v", h.ID, k.ejectUntil-n.now, h.ejectUntil-g.now)
 		}
 	}
-	if len(n.b.owing) != 1 || n.b.owing[0].ID != 2 {
-		t.Errorf("%d hosts are owed work, want the one that was called back", len(n.b.owing))
+	if len(n.b.reinstated) != 1 || n.b.reinstated[0].ID != 2 {
+		t.Errorf("%d hosts are owed work, want the one that was called back", len(n.b.reinstated))
 	}
 	bad := Memory{Version: MemoryVersion, Admit: math.NaN(), Served: math.Inf(1), All: MeanMemory{Mean: -1}, Kinds: make([]EvidenceMemory, 99), Classes: make([]MeanMemory, 99),
 		Hosts: []HostMemory{{ID: 1, RTT: math.NaN(), Limit: 9}, {ID: 2, Limit: 0.1}, {ID: 99}, {ID: 4, Limit: 9, Fails: -1}}}
 	n = start(t, basic(), hosts(4)...)
 	n.b.Restore(n.now, &bad)
-	if got := n.serve(100, 0, func(HostID) time.Duration { return 5 * ms }); len(got) != 4 || n.b.admit != 1 {
-		t.Errorf("after nonsense: %v, admits %v", got, n.b.admit)
+	if got := n.serve(100, 0, func(HostID) time.Duration { return 5 * ms }); len(got) != 4 || n.b.admitted != 1 {
+		t.Errorf("after nonsense: %v, admits %v", got, n.b.admitted)
 	}
 }
 
--- a/stagger_test.go
+++ b/stagger_test.go
@@ -66,25 +66,25 @@
 		set := basic()
 		set.Instances, set.Rank = fleet.instances, rank
 		g := start(t, set, list...)
-		g.b.served, g.b.servedAt, g.b.servedFrom = rate, g.now, g.now-time.Hour
+		g.b.servedRate, g.b.servedAt, g.b.servedFrom = rate, g.now, g.now-time.Hour
 		begin := g.now
 		now := begin + time.Duration(r.Int64N(int64(300*time.Millisecond))) // lists come late
 		know := func(at Time) {
-			g.b.now, g.b.served, g.b.servedAt = at, rate, at
+			g.b.now, g.b.servedRate, g.b.servedAt = at, rate, at
 		}
 		know(now)
 		g.b.Hosts(now, ListChanges, []Host{fresh})
 		h := g.b.byID[fresh.ID]
-		if cold == nil || h.mine {
+		if cold == nil || h.usableCold {
 			first, cold = g.b, h
 		}
-		if !h.mine {
+		if !h.usableCold {
 			continue
 		}
 		traffic := drawTraffic(r, burst)
 		for now += traffic.from; now < begin+fleet.length; now += traffic.every {
 			know(now)
-			if !g.b.coldHold(h) {
+			if !g.b.coldBlocked(h) {
 				h.credit = min(h.credit-1, 1)
 				sends = append(sends, now-begin)
 			}
@@ -110,13 +110,13 @@
 	fleet := coldFleet{instances: instances, warm: warm, rate: rate, length: 4 * time.Second, quiet: 3 * time.Second}
 	sends, b, h := coldSends(t, fleet, rand.New(rand.NewPCG(seed, 1)))
 	fall := b.set.Fall
-	coldLoads(&b.set, max(rate, 1/b.aim.Seconds()), sends, func(from time.Duration, n, allowed float64) {
+	coldLoads(&b.set, max(rate, 1/b.shortestAim.Seconds()), sends, func(from time.Duration, n, allowed float64) {
 		if most := allowed + 2*math.Sqrt(allowed) + 2; n > most {
 			wrong = fmt.Sprintf("%v sends from %v on, %.1f make it fall", n, from, most)
 		}
-		b.now, b.served, b.servedAt = time.Hour+from+fall, rate, time.Hour+from+fall
+		b.now, b.servedRate, b.servedAt = time.Hour+from+fall, rate, time.Hour+from+fall
 		all := b.coldRate(h, from+fall) * fall.Seconds() * h.sharers // at the end of the window, where it is the most
-		bound := all + max(1, min(all/2, coldLapse*math.Sqrt(all))) + staggerLoss
+		bound := all + max(1, min(all/2, coldCreditDeviations*math.Sqrt(all))) + staggerLoss
 		if n > bound {
 			wrong = fmt.Sprintf("%v sends from %v on, the bound is %.1f", n, from, bound)
 		}
@@ -194,8 +194,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.shared.Place = float64(k) / float64(fleet)
-			_, cycle := math.Modf(b.stagger(&host{place: 1 << 60}))
+			b.fleetInfo.Place = float64(k) / float64(fleet)
+			_, cycle := math.Modf(b.cycleOffset(&host{position: 1 << 60}))
 			at = append(at, cycle)
 		}
 		for _, size := range []int{fleet, (fleet + 1) / 2, (fleet + 9) / 10} {
--- a/standing.go
+++ b/standing.go
@@ -49,9 +49,9 @@
 // Standing is how things stand now.
 func (b *Balancer) Standing(now Time) Standing {
 	b.now = now
-	s := Standing{Part: min(b.subset, len(b.ring)), Reach: min(b.reach, len(b.ring)), Sharers: b.sharers, Admitted: b.admit, Late: b.lateness(),
-		Answers: b.late.N, PressedAt: pressAims}
-	if s.Late < calmAims || b.sharers <= shedSharers {
+	s := Standing{Part: min(b.subsetSize, len(b.ring)), Reach: min(b.reach, len(b.ring)), Sharers: b.sharers, Admitted: b.admitted, Late: b.lateness(),
+		Answers: b.latenessEvidence.N, PressedAt: shedFromAims}
+	if s.Late < shedUntilAims || b.sharers <= shedAboveSharers {
 		s.Admitted = 1 // what stood is over: the next arrival finds so
 	}
 	place := map[*host]int{}
@@ -62,19 +62,19 @@
 		if h.State == Removed {
 			continue
 		}
-		v := HostStanding{ID: h.ID, Pending: h.pending, Estimate: time.Duration(b.believed(h) * 1e9), Answers: h.slow.N, Out: max(0, h.ejectUntil-now)}
-		v.Unlike = evidence.Sure(h.slow.Apart(0, b.noise.Deviation(1, easyAnswers), 1), likeUpTo, sureFrom)
+		v := HostStanding{ID: h.ID, Pending: h.pending, Estimate: time.Duration(b.believedRTT(h) * 1e9), Answers: h.relativeTimes.N, Out: max(0, h.ejectUntil-now)}
+		v.Unlike = evidence.Sure(h.relativeTimes.Apart(0, b.noise.Deviation(1, priorAnswers), 1), equalUpToErrors, differentFromErrors)
 		at := place[h]
 		switch {
 		case h.State != Ready:
 			v.Use = UseLeaving
-		case h.fails > 0 && now < h.ejectUntil:
+		case h.ejections > 0 && now < h.ejectUntil:
 			v.Use = UseEjected
 		case h.Backup:
 			v.Use = UseBackup
-		case at == 0 || at > s.Reach || h.cold && !h.mine:
+		case at == 0 || at > s.Reach || h.cold && !h.usableCold:
 			v.Use = UseBeyond
-		case b.coldHold(h):
+		case b.coldBlocked(h):
 			v.Use = UseCold
 		case b.atLimit(h):
 			v.Use = UseFull
--- a/state.go
+++ b/state.go
@@ -15,100 +15,100 @@
 
 // Balancer decides for one gateway. It is not safe for concurrent use.
 type Balancer struct {
-	set  Settings
-	rng  uint64
-	now  Time
-	acts []Action
-
-	hosts   []*host // in order of first listing, so that nothing depends on map order
-	byID    map[HostID]*host
-	banned  map[HostID]bool // taken out by hand, listed or not
-	owing   []*host         // called back by hand, and no answer since
-	reqs    map[RequestID]*request
-	bands   []list[request] // waiting requests, most worth first
-	band    [][4]int
-	arrived []float64     // requests of late by line, decayed by each
-	admit   float64       // share of requests admitted, by worth
-	late    evidence.Mean // RTT in aims, weighed by worth
-	pressAt Time          // the last answer
-	worth   mean          // worth of the requests answered
-	queued  int
-	stood   Time // how long the gateway itself has stood still in all
-	outNow  int  // attempts out at the last sweep or sent since
-
-	aim            Time   // shortest aim of any class
-	longAim        Time   // longest
-	pass           uint64 // through the hosts, as cards are dealt
-	picks          uint64
-	heeds          float64         // 1: the pick under way heeds what others have out; 0: it does not
-	noise          evidence.Mean   // the same less their host's
-	works          evidence.Mean   // logarithms of times over their class's mean, of all hosts
-	gap            mean            // seconds between samples of a host
-	lat            []mean          // RTT of good answers by class
-	all            mean            // RTT of good answers
-	kinds          []evidence.Mean // the same of a kind's warm hosts
-	warmAt         Time            // when the next of the cold hosts is warm; 0: none is cold
-	warm           int             // warm hosts listed
-	served         float64         // rate of good answers of a warm host to the fleet, a second, as of servedAt
-	servedAt       Time
-	servedFrom     Time    // when the first of them was sent
-	span           float64 // of served, seconds
-	quota          []bucket
-	sweepAt        Time
-	places         []*host // ready hosts in the order of their places
-	near           []*host // scratch of layRing
-	ring           []*host // ready hosts in the order of this instance's preference
-	backups        int     // hosts that are used only where no other can be
-	weighted       bool    // hosts have weights that differ from 1
-	nearby         []*host // those of the subset that stand in the own zone, where they are preferred
-	shared         Fleet   // who shares the hosts
-	subset         int     // how many of them it draws from
-	reach          int     // ... with what its own load asks for
-	own            float64 // rate of its requests, a second, as of ownAt
-	ownAt, ownFrom Time
-	sharers        float64 // instances that draw from one host
-	fleet          float64 // instances that share the hosts listed
-	twins          float64 // processes that are this instance; 0: one
-	ready          []*host // scratch of pick
-	out            []*host // scratch of pick
-	freeReq        []*request
-	freeAtt        []*attempt
+	set     Settings
+	rng     uint64
+	now     Time
+	actions []Action
+
+	hosts            []*host // in order of first listing, so that nothing depends on map order
+	byID             map[HostID]*host
+	banned           map[HostID]bool // taken out by hand, listed or not
+	reinstated       []*host         // called back by hand, and no answer since
+	reqs             map[RequestID]*request
+	queues           []list[request] // waiting requests, most worth first
+	queueOf          [][4]int
+	arrivals         []float64     // requests of late by line, decayed by each
+	admitted         float64       // share of requests admitted, by worth
+	latenessEvidence evidence.Mean // RTT in aims, weighed by worth
+	latenessAt       Time          // the last answer
+	meanWorth        mean          // worth of the requests answered
+	queued           int
+	stallTime        Time // how long the gateway itself has stood still in all
+	inFlight         int  // attempts out at the last sweep or sent since
+
+	shortestAim            Time   // shortest aim of any class
+	longestAim             Time   // longest
+	round                  uint64 // through the hosts, as cards are dealt
+	pickCount              uint64
+	peerLoadFactor         float64         // 1: the pick under way heeds what others have out; 0: it does not
+	noise                  evidence.Mean   // the same less their host's
+	relativeTimes          evidence.Mean   // logarithms of times over their class's mean, of all hosts
+	sampleGap              mean            // seconds between samples of a host
+	classRTT               []mean          // RTT of good answers by class
+	meanRTT                mean            // RTT of good answers
+	kindTimes              []evidence.Mean // the same of a kind's warm hosts
+	nextWarmAt             Time            // when the next of the cold hosts is warm; 0: none is cold
+	warmHosts              int             // warm hosts listed
+	servedRate             float64         // rate of good answers of a warm host to the fleet, a second, as of servedAt
+	servedAt               Time
+	servedFrom             Time    // when the first of them was sent
+	rateSpan               float64 // of served, seconds
+	quotas                 []bucket
+	sweepAt                Time
+	byPosition             []*host // ready hosts in the order of their places
+	nearScratch            []*host // scratch of layRing
+	ring                   []*host // ready hosts in the order of this instance's preference
+	backups                int     // hosts that are used only where no other can be
+	weighted               bool    // hosts have weights that differ from 1
+	nearSubset             []*host // those of the subset that stand in the own zone, where they are preferred
+	fleetInfo              Fleet   // who shares the hosts
+	subsetSize             int     // how many of them it draws from
+	reach                  int     // ... with what its own load asks for
+	ownRate                float64 // rate of its requests, a second, as of ownAt
+	ownRateAt, ownRateFrom Time
+	sharers                float64 // instances that draw from one host
+	fleetSize              float64 // instances that share the hosts listed
+	siblings               float64 // processes that are this instance; 0: one
+	readyScratch           []*host // scratch of pick
+	ejectedScratch         []*host // scratch of pick
+	freeRequests           []*request
+	freeAttempts           []*attempt
 
 	watching   bool
 	watchAt    Time
 	watchFails int
-	lines      [logKinds]logLine
+	logLines   [logKinds]logLine
 }
 
 // host is what this instance knows of one host.
 type host struct {
 	Host
-	listed  HostState // what the list says; State is what holds
-	fresh   bool      // no sample yet
-	place   uint64    // in the ring
-	mine    bool      // it is of the part that may be used while cold
-	laid    bool      // it is among the places
-	near    bool      // scratch of layRing
-	rtt     float64   // peak EWMA in seconds, as of rttAt
-	rttAt   Time
-	pending int
-	streams int           // answers whose bodies flow
-	flight  list[attempt] // in the order sent
-	heard   Time          // last answer of any kind
-	dealt   uint64        // the pass of the deck in which it was last sent something
-	slow    evidence.Mean // logarithms of its times over what they usually are
-	faulty  bool          // a penalty stands in rtt and has not decayed
-	limit   float64       // attempts it may hold from all that share it
-	lat     mean          // RTT of answers and time-outs, not decayed
-	cutAt   Time          // last cut of the limit
-
-	fails      int  // ejections since the last good answer
-	down       bool // it took no connection
-	good       int  // answers since its last error
-	ejectUntil Time
-	trialOut   bool // the one attempt of a host on trial is out
-	refusals   int  // connections that failed one after the other
-	retryAt    Time // when it may be tried again where all others are down as well
+	listedState   HostState // what the list says; State is what holds
+	unsampled     bool      // no sample yet
+	position      uint64    // in the ring
+	usableCold    bool      // it is of the part that may be used while cold
+	positioned    bool      // it is among the places
+	marked        bool      // scratch of layRing
+	rtt           float64   // peak EWMA in seconds, as of rttAt
+	rttAt         Time
+	pending       int
+	streams       int           // answers whose bodies flow
+	inFlight      list[attempt] // in the order sent
+	answeredAt    Time          // last answer of any kind
+	lastRound     uint64        // the pass of the deck in which it was last sent something
+	relativeTimes evidence.Mean // logarithms of its times over what they usually are
+	penalized     bool          // a penalty stands in rtt and has not decayed
+	limit         float64       // attempts it may hold from all that share it
+	recentRTT     mean          // RTT of answers and time-outs, not decayed
+	limitCutAt    Time          // last cut of the limit
+
+	ejections         int  // ejections since the last good answer
+	down              bool // it took no connection
+	answersSinceError int  // answers since its last error
+	ejectUntil        Time
+	probing           bool // the one attempt of a host on trial is out
+	connectFailures   int  // connections that failed one after the other
+	retryAt           Time // when it may be tried again where all others are down as well
 
 	cold   bool // it started less than WarmAfter ago
 	coldAt Time
@@ -118,56 +118,56 @@
 	sharers   float64 // instances that may send to it while cold
 	creditAt  Time
 
-	doubt       float64 // by others' outcomes, until doubtUntil
-	doubtUntil  Time
-	said        bool    // it was ejected for what others said
-	waits       bool    // ... and others try it
-	others      float64 // attempts that other instances have out there, until othersUntil
-	othersUntil Time
+	suspicion      float64 // by others' outcomes, until doubtUntil
+	suspicionUntil Time
+	ejectedByPeers bool    // it was ejected for what others said
+	peersProbe     bool    // ... and others try it
+	peerLoad       float64 // attempts that other instances have out there, until othersUntil
+	peerLoadUntil  Time
 }
 
 // flow makes an attempt one whose body flows; stay takes that back, and leave ends either.
-func (a *attempt) flow() {
-	if !a.away {
-		a.away = true
-		a.host.flight.remove(&a.link)
+func (a *attempt) startStreaming() {
+	if !a.streaming {
+		a.streaming = true
+		a.host.inFlight.remove(&a.link)
 		a.host.pending--
 		a.host.streams++
 	}
 }
 
-func (a *attempt) stay() {
-	a.away = false
-	a.host.flight.pushBack(&a.link)
+func (a *attempt) stopStreaming() {
+	a.streaming = false
+	a.host.inFlight.pushBack(&a.link)
 	a.host.pending++
 	a.host.streams--
 }
 
-func (a *attempt) leave() {
-	if a.away {
+func (a *attempt) leaveHost() {
+	if a.streaming {
 		a.host.streams--
 	} else {
 		a.host.pending--
-		a.host.flight.remove(&a.link)
+		a.host.inFlight.remove(&a.link)
 	}
 }
 
 // without drops those hosts from a list that are in another, in place.
 func without(list, drop []*host) []*host {
 	for _, h := range drop {
-		h.near = true
+		h.marked = true
 	}
-	list = slices.DeleteFunc(list, func(h *host) bool { return h.near })
+	list = slices.DeleteFunc(list, func(h *host) bool { return h.marked })
 	for _, h := range drop {
-		h.near = false
+		h.marked = false
 	}
 	return list
 }
 
 // turn appends the hosts to dst, from this instance's place on.
-func (b *Balancer) turn(dst, part []*host) []*host {
-	first := int(b.shared.Place * float64(len(part)))
-	return append(append(dst, part[first:]...), part[:first]...)
+func (b *Balancer) appendRotated(dst, hosts []*host) []*host {
+	first := int(b.fleetInfo.Place * float64(len(hosts)))
+	return append(append(dst, hosts[first:]...), hosts[:first]...)
 }
 
 // remote says whether a host stands in another zone.
@@ -175,7 +175,7 @@
 
 // first is the earliest attempt that may have run or is still out, or nil.
 func (r *request) first() *attempt {
-	for _, a := range r.atts {
+	for _, a := range r.attempts {
 		if !a.ended || a.result.mayHaveRun() {
 			return a
 		}
@@ -186,7 +186,7 @@
 func (x Result) mayHaveRun() bool { return x != Full && x != ConnectFailed && x != NotSent }
 
 // byWeight draws a host by weights.
-func (b *Balancer) byWeight(from []*host) *host {
+func (b *Balancer) drawByWeight(from []*host) *host {
 	sum := 0.0
 	for _, h := range from {
 		sum += h.weight()
@@ -202,7 +202,7 @@
 
 // ban notes that a host is out by hand, or that it is called back and nothing that was learnt
 // of it holds.
-func (b *Balancer) ban(id HostID, out bool) {
+func (b *Balancer) setBanned(id HostID, out bool) {
 	h := b.byID[id]
 	if out && b.banned == nil {
 		b.banned = map[HostID]bool{}
@@ -215,18 +215,18 @@
 	if h == nil {
 		return
 	}
-	b.paid(h)
+	b.dropReinstated(h)
 	if !out {
-		h.fresh, h.rtt, h.rttAt, h.heard = true, 0, b.now, b.now
-		h.limit, h.lat, h.cutAt, h.good = limitStart, mean{}, 0, errorGap
-		h.fails, h.down, h.ejectUntil, h.trialOut = 0, false, 0, false
-		h.refusals, h.retryAt = 0, 0
-		b.owing = append(b.owing, h)
+		h.unsampled, h.rtt, h.rttAt, h.answeredAt = true, 0, b.now, b.now
+		h.limit, h.recentRTT, h.limitCutAt, h.answersSinceError = initialHostLimit, mean{}, 0, minErrorGap
+		h.ejections, h.down, h.ejectUntil, h.probing = 0, false, 0, false
+		h.connectFailures, h.retryAt = 0, 0
+		b.reinstated = append(b.reinstated, h)
 	}
 }
 
 // until is what was said with an end to its worth.
-func (b *Balancer) until(x float64, end Time) float64 {
+func (b *Balancer) unlessExpired(x float64, end Time) float64 {
 	if b.now >= end {
 		return 0
 	}
@@ -234,9 +234,9 @@
 }
 
 // paid notes that a host is owed nothing.
-func (b *Balancer) paid(h *host) {
-	if len(b.owing) > 0 {
-		b.owing = slices.DeleteFunc(b.owing, func(o *host) bool { return o == h })
+func (b *Balancer) dropReinstated(h *host) {
+	if len(b.reinstated) > 0 {
+		b.reinstated = slices.DeleteFunc(b.reinstated, func(o *host) bool { return o == h })
 	}
 }
 
@@ -251,33 +251,33 @@
 // answer and all its attempts have ended.
 type request struct {
 	Request
-	class    *Class
-	arrived  Time
-	deadline Time
-	expires  Time // while it waits: too late to be answered within the aim
-	band     int
-	out      int // attempts in flight
-	done     bool
-	bound    bool // a stream has begun, it is that attempt's now
-	feeding  bool // its body comes still, on the attempt that is out
-	moved    bool // its deadline was, when its body had come
-	queued   bool
-	link     node[request] // in its line
-	atts     []*attempt
+	class         *Class
+	arrived       Time
+	deadline      Time
+	queueDeadline Time // while it waits: too late to be answered within the aim
+	queue         int
+	inFlight      int // attempts in flight
+	done          bool
+	committed     bool // a stream has begun, it is that attempt's now
+	bodyPending   bool // its body comes still, on the attempt that is out
+	deadlineMoved bool // its deadline was, when its body had come
+	queued        bool
+	link          node[request] // in its line
+	attempts      []*attempt
 }
 
 type attempt struct {
-	req    *request
-	host   *host
-	sent   Time
-	hint   float64 // seconds after which the host wants to be asked again; 0: none
-	stood  Time    // as of the balancer then
-	ended  bool
-	result Result
-	trial  bool
-	away   bool          // not in the host's flight: its time is not the host's
-	flows  bool          // its answer's body flows
-	link   node[attempt] // at its host
+	req               *request
+	host              *host
+	sent              Time
+	hint              float64 // seconds after which the host wants to be asked again; 0: none
+	stallTime         Time    // as of the balancer then
+	ended             bool
+	result            Result
+	probe             bool
+	streaming         bool          // not in the host's flight: its time is not the host's
+	responseStreaming bool          // its answer's body flows
+	link              node[attempt] // at its host
 }
 
 // mean is a moving average with deviation; the first sample sets it.
@@ -356,11 +356,11 @@
 // forget drops a removed host once nothing of ours is out there. One that started
 // lately is kept: on a list that flaps it would come back with new credit.
 func (b *Balancer) forget(h *host) {
-	if !b.forgotten(h) {
+	if !b.forgettable(h) {
 		return
 	}
 	delete(b.byID, h.ID)
-	b.paid(h)
+	b.dropReinstated(h)
 	for i := range b.hosts {
 		if b.hosts[i] == h {
 			b.hosts = append(b.hosts[:i], b.hosts[i+1:]...)
@@ -369,17 +369,17 @@
 	}
 }
 
-func (b *Balancer) forgotten(h *host) bool {
+func (b *Balancer) forgettable(h *host) bool {
 	return h.State == Removed && h.pending+h.streams == 0 && b.byID[h.ID] == h && !(h.cold && b.now-h.coldAt < b.set.WarmAfter)
 }
 
 // forgetAll drops all that can be dropped, in one pass.
-func (b *Balancer) forgetAll() {
+func (b *Balancer) forgetRemoved() {
 	b.hosts = slices.DeleteFunc(b.hosts, func(h *host) bool {
-		gone := b.forgotten(h)
+		gone := b.forgettable(h)
 		if gone {
 			delete(b.byID, h.ID)
-			b.paid(h)
+			b.dropReinstated(h)
 		}
 		return gone
 	})
@@ -387,28 +387,28 @@
 
 // layPlaces keeps the ready hosts in the order of their places. Only those that are new
 // are sorted: a list of thousands changes by a few at a time.
-func (b *Balancer) layPlaces() {
-	b.places = slices.DeleteFunc(b.places, func(h *host) bool {
-		h.laid = h.State == Ready && b.byID[h.ID] == h
-		return !h.laid
+func (b *Balancer) updatePositions() {
+	b.byPosition = slices.DeleteFunc(b.byPosition, func(h *host) bool {
+		h.positioned = h.State == Ready && b.byID[h.ID] == h
+		return !h.positioned
 	})
 	var fresh []*host
 	for _, h := range b.hosts {
-		if h.State == Ready && !h.laid {
-			h.laid = true
+		if h.State == Ready && !h.positioned {
+			h.positioned = true
 			fresh = append(fresh, h)
 		}
 	}
-	byPlace := func(x, y *host) int { return cmp.Compare(x.place, y.place) }
+	byPlace := func(x, y *host) int { return cmp.Compare(x.position, y.position) }
 	slices.SortFunc(fresh, byPlace)
-	old := len(b.places)
-	b.places = append(b.places, fresh...)
-	for i, j, k := old-1, len(fresh)-1, len(b.places)-1; j >= 0; k-- { // from the end, in place
-		if i >= 0 && byPlace(b.places[i], fresh[j]) > 0 {
-			b.places[k] = b.places[i]
+	old := len(b.byPosition)
+	b.byPosition = append(b.byPosition, fresh...)
+	for i, j, k := old-1, len(fresh)-1, len(b.byPosition)-1; j >= 0; k-- { // from the end, in place
+		if i >= 0 && byPlace(b.byPosition[i], fresh[j]) > 0 {
+			b.byPosition[k] = b.byPosition[i]
 			i--
 		} else {
-			b.places[k] = fresh[j]
+			b.byPosition[k] = fresh[j]
 			j--
 		}
 	}
@@ -419,7 +419,7 @@
 	if t.rate <= 0 {
 		return true
 	}
-	t.tokens = min(t.tokens+(now-t.at).Seconds()*t.rate, max(1, t.rate*quotaBurst))
+	t.tokens = min(t.tokens+(now-t.at).Seconds()*t.rate, max(1, t.rate*quotaBurstSeconds))
 	t.at = now
 	if t.tokens < 1 {
 		return false
@@ -436,7 +436,7 @@
 			continue
 		}
 		listed++
-		if h.State != Ready || h.fails > 0 && now < h.ejectUntil {
+		if h.State != Ready || h.ejections > 0 && now < h.ejectUntil {
 			away++
 		}
 	}
@@ -445,40 +445,40 @@
 
 // release forgets an ended request once its last attempt has ended.
 func (b *Balancer) release(r *request) {
-	if !r.done || r.out > 0 {
+	if !r.done || r.inFlight > 0 {
 		return
 	}
 	delete(b.reqs, r.ID)
-	b.freeAtt = append(b.freeAtt, r.atts...)
-	b.freeReq = append(b.freeReq, r)
+	b.freeAttempts = append(b.freeAttempts, r.attempts...)
+	b.freeRequests = append(b.freeRequests, r)
 }
 
 // attempt finds one that has not ended, of a request that is owed its answer.
-func (b *Balancer) attempt(id RequestID, n int) *attempt {
-	if r := b.reqs[id]; r != nil && !r.done && n >= 0 && n < len(r.atts) && !r.atts[n].ended {
-		return r.atts[n]
+func (b *Balancer) openAttempt(id RequestID, n int) *attempt {
+	if r := b.reqs[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) && !r.attempts[n].ended {
+		return r.attempts[n]
 	}
 	return nil
 }
 
 func (b *Balancer) newRequest() *request {
-	n := len(b.freeReq)
+	n := len(b.freeRequests)
 	if n == 0 {
 		return &request{}
 	}
-	r := b.freeReq[n-1]
-	b.freeReq = b.freeReq[:n-1]
-	*r = request{atts: r.atts[:0]}
+	r := b.freeRequests[n-1]
+	b.freeRequests = b.freeRequests[:n-1]
+	*r = request{attempts: r.attempts[:0]}
 	return r
 }
 
 func (b *Balancer) newAttempt() *attempt {
-	n := len(b.freeAtt)
+	n := len(b.freeAttempts)
 	if n == 0 {
 		return &attempt{}
 	}
-	a := b.freeAtt[n-1]
-	b.freeAtt = b.freeAtt[:n-1]
+	a := b.freeAttempts[n-1]
+	b.freeAttempts = b.freeAttempts[:n-1]
 	*a = attempt{}
 	return a
 }
@@ -488,15 +488,15 @@
 	r.queued, r.link.item = true, r
 	b.queued++
 	if front {
-		b.bands[r.band].pushFront(&r.link)
+		b.queues[r.queue].pushFront(&r.link)
 	} else {
-		b.bands[r.band].pushBack(&r.link)
+		b.queues[r.queue].pushBack(&r.link)
 	}
 }
 
 func (b *Balancer) dequeue(r *request) {
 	if r.queued {
-		b.bands[r.band].remove(&r.link)
+		b.queues[r.queue].remove(&r.link)
 		r.queued = false
 		b.queued--
 	}
@@ -518,24 +518,24 @@
 const logEvery = 10 * time.Second
 
 type logLine struct {
-	at   Time
-	said bool
-	held int // lines held back since
+	at         Time
+	logged     bool
+	suppressed int // lines held back since
 }
 
 // log tells those on call, a line of a kind every logEvery at most.
 func (b *Balancer) log(kind int, format string, args ...any) {
-	l := &b.lines[kind]
-	if l.said && b.now-l.at < logEvery {
-		l.held++
+	l := &b.logLines[kind]
+	if l.logged && b.now-l.at < logEvery {
+		l.suppressed++
 		return
 	}
 	text := fmt.Sprintf(format, args...)
-	if l.held > 0 {
-		text += fmt.Sprintf(" (%d more such lines held back)", l.held)
+	if l.suppressed > 0 {
+		text += fmt.Sprintf(" (%d more such lines held back)", l.suppressed)
 	}
-	*l = logLine{at: b.now, said: true}
-	b.act(Action{Kind: Log, Text: text})
+	*l = logLine{at: b.now, logged: true}
+	b.addAction(Action{Kind: Log, Text: text})
 }
 
 // RankPosition is the place on a ring of a rank among so many: steps of the golden ratio, made
@@ -574,23 +574,23 @@
 // Drain appends the actions decided since the last call to dst. The balancer
 // keeps no reference to what it returns.
 func (b *Balancer) Drain(dst []Action) []Action {
-	dst = append(dst, b.acts...)
-	b.acts = b.acts[:0]
+	dst = append(dst, b.actions...)
+	b.actions = b.actions[:0]
 	return dst
 }
 
-func (b *Balancer) act(a Action) { b.acts = append(b.acts, a) }
+func (b *Balancer) addAction(a Action) { b.actions = append(b.actions, a) }
 
-func (b *Balancer) wake(at Time, token uint64) {
-	b.act(Action{Kind: Wake, At: at, Token: token})
+func (b *Balancer) setTimer(at Time, token uint64) {
+	b.addAction(Action{Kind: Wake, At: at, Token: token})
 }
 
 // saidOut is how many hosts are ejected for what others said.
-func (b *Balancer) saidOut() (n int) {
+func (b *Balancer) ejectedByPeersCount() (count int) {
 	for _, h := range b.hosts {
-		if h.said {
-			n++
+		if h.ejectedByPeers {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/subset_test.go
+++ b/subset_test.go
@@ -20,14 +20,14 @@
 		members := func() map[HostID]bool {
 			g.b.pick(&request{class: &g.b.set.Classes[0]})
 			got := map[HostID]bool{}
-			for _, h := range g.b.ready {
+			for _, h := range g.b.readyScratch {
 				got[h.ID] = true
 			}
 			return got
 		}
 		before := members()
-		if len(before) != subsetLeast {
-			t.Fatalf("rank %d draws from %d hosts, want %d", rank, len(before), subsetLeast)
+		if len(before) != minSubset {
+			t.Fatalf("rank %d draws from %d hosts, want %d", rank, len(before), minSubset)
 		}
 		for id := range before {
 			meet[id]++
@@ -59,15 +59,15 @@
 		list[i].Started = time.Hour - time.Second
 	}
 	g := start(t, set, list...)
-	if g.b.warm != 24 {
-		t.Fatalf("%d hosts are warm, want 24", g.b.warm)
+	if g.b.warmHosts != 24 {
+		t.Fatalf("%d hosts are warm, want 24", g.b.warmHosts)
 	}
-	g.b.admit = 1
+	g.b.admitted = 1
 	g.serve(int(set.WarmAfter/(10*ms))+100, 0, func(HostID) time.Duration { return 10 * ms })
-	if g.b.warm != 60 {
-		t.Errorf("%d hosts are warm once all are, want 60", g.b.warm)
+	if g.b.warmHosts != 60 {
+		t.Errorf("%d hosts are warm once all are, want 60", g.b.warmHosts)
 	}
-	if want := float64(g.b.subset) * 80 / 60; g.b.sharers != want {
+	if want := float64(g.b.subsetSize) * 80 / 60; g.b.sharers != want {
 		t.Errorf("%.1f instances share a host, want %.1f", g.b.sharers, want)
 	}
 }
@@ -77,7 +77,7 @@
 	set := basic()
 	set.Instances, set.Rank = 200, 199
 	g := start(t, set)
-	g.b.admit = 1
+	g.b.admitted = 1
 	id := g.request(0, time.Second)
 	var answers int
 	for _, a := range append(slices.Clone(g.acts), g.advance(time.Second)...) {
@@ -94,11 +94,11 @@
 	}
 	g.list(ListFull, hosts(100_000)...)
 	g.b.pick(&request{class: &g.b.set.Classes[0]})
-	if n, want := g.b.subset, 100_000*subsetMeet/200; n != want {
+	if n, want := g.b.subsetSize, 100_000*subsetSharers/200; n != want {
 		t.Errorf("a subset of %d of 100,000 hosts, want %d", n, want)
 	}
 	g.list(ListFull)
-	if len(g.b.hosts)+len(g.b.ring)+len(g.b.places)+len(g.b.byID) > 0 {
+	if len(g.b.hosts)+len(g.b.ring)+len(g.b.byPosition)+len(g.b.byID) > 0 {
 		t.Error("hosts are kept that no list names")
 	}
 }
@@ -114,11 +114,11 @@
 			set.Instances, set.Rank = n.instances, rank
 			g := start(t, set, hosts(n.hosts)...)
 			g.b.pick(&request{class: &g.b.set.Classes[0]})
-			for _, h := range g.b.ready {
+			for _, h := range g.b.readyScratch {
 				meet[h.ID]++
 			}
 		}
-		most := max(subsetMeet, subsetLeast*n.instances/n.hosts) + 2 // evenly, but for rounding
+		most := max(subsetSharers, minSubset*n.instances/n.hosts) + 2 // evenly, but for rounding
 		for id, got := range meet {
 			if got > most {
 				t.Errorf("%d instances, %d hosts: %d share host %x, want %d at most", n.instances, n.hosts, got, id, most)
@@ -133,11 +133,11 @@
 // A small fleet goes on drawing from the whole list.
 func TestSmallFleetDrawsFromAll(t *testing.T) {
 	set := basic()
-	set.Instances = subsetMeet
+	set.Instances = subsetSharers
 	g := start(t, set, hosts(20)...)
 	g.b.pick(&request{class: &g.b.set.Classes[0]})
-	if len(g.b.ready) != 20 {
-		t.Errorf("draws from %d hosts of 20", len(g.b.ready))
+	if len(g.b.readyScratch) != 20 {
+		t.Errorf("draws from %d hosts of 20", len(g.b.readyScratch))
 	}
 }
 
@@ -146,10 +146,10 @@
 	set := basic()
 	set.Instances = 240
 	g := start(t, set, hosts(48)...)
-	for out, want := range []int{subsetLeast, 3, 2} { // two are left to choose from
+	for out, want := range []int{minSubset, 3, 2} { // two are left to choose from
 		g.b.pick(&request{class: &g.b.set.Classes[0]})
-		if len(g.b.ready) != want {
-			t.Errorf("draws from %d hosts with %d out, want %d", len(g.b.ready), out, want)
+		if len(g.b.readyScratch) != want {
+			t.Errorf("draws from %d hosts with %d out, want %d", len(g.b.readyScratch), out, want)
 		}
 		g.b.eject(g.b.ring[out], "test")
 	}
@@ -230,11 +230,11 @@
 				ready++
 			}
 		}
-		if len(g.b.places) != ready || len(g.b.ring) != ready {
-			t.Fatalf("round %d: %d places and a ring of %d for %d ready hosts", round, len(g.b.places), len(g.b.ring), ready)
+		if len(g.b.byPosition) != ready || len(g.b.ring) != ready {
+			t.Fatalf("round %d: %d places and a ring of %d for %d ready hosts", round, len(g.b.byPosition), len(g.b.ring), ready)
 		}
-		for i, h := range g.b.places {
-			if h.State != Ready || i > 0 && g.b.places[i-1].place >= h.place {
+		for i, h := range g.b.byPosition {
+			if h.State != Ready || i > 0 && g.b.byPosition[i-1].position >= h.position {
 				t.Fatalf("round %d: place %d is out of order", round, i)
 			}
 		}
@@ -296,7 +296,7 @@
 			cold++
 		}
 	}
-	if len(used)-cold < 8 || cold > subsetLeast {
+	if len(used)-cold < 8 || cold > minSubset {
 		t.Errorf("%d warm and %d cold hosts are used, want many and only those of the subset", len(used)-cold, cold)
 	}
 }
