--- a/balancer.go
+++ b/balancer.go
@@ -1,17 +1,17 @@
 package frostshift
 
-// The decisions of the balancer but for hosts that have just started, which are in coldhost.go. The
-// types it speaks in are in api.go.
+// This file contains the decision logic of the balancer, except for hosts that have just started,
+// which are in coldhost.go. The types of its interface are in api.go.
 //
-// Reading order: the constants; New (what a Balancer keeps is in state.go); one
-// method per event, from Start to Timer; then what they call: place and pick (the
-// ordinary path), load, estimate and sample (the score), allows to atLimit (who is
-// ready), observe and adjust (what is learnt), settle to end (what follows an
-// attempt), enqueue to serve (waiting), listen (silence), and last discovery.
+// Reading order: the constants; New (the state of a Balancer is in state.go); one method per event,
+// from Start to Timer; then the methods that they call: sendOrQueue and pick (the normal path),
+// load, decayedRTT and recordRTT (the score of a host), allows to atLimit (which hosts are ready),
+// recordResult and adjustLimit (learning), settle to end (what follows an attempt), enqueue to
+// serveQueue (the queues), ejectSilent (silent hosts), and finally discovery.
 //
-// The ordinary path is failure-aware peak EWMA with two choices: of two random
-// ready hosts the one with the lower estimate x (own pending + 1) gets the
-// request. Departures from it decide who is ready, and each says when it acts.
+// The normal path is failure-aware peak EWMA with two choices: of two random ready hosts the one
+// with the lower RTT estimate x (own pending attempts + 1) gets the request. The deviations from
+// it decide which hosts are ready; the comment of each says when it applies.
 
 import (
 	"cmp"
@@ -20,74 +20,81 @@
 	"slices"
 )
 
-const ( // each relative to settings or to what is measured
-	estimateDecayAims    = 8        // the estimate's decay, in shortest aims: it outlasts a gap between samples
-	estimateDecayGaps    = 8        // ... and at least so many gaps between own samples of a host
-	equalUpToErrors      = 1        // standard errors up to which a host is held to be like the others
-	differentFromErrors  = 2        // ... and from which on its estimate stands whole
-	maxSampleWeight      = 50       // answers that are held of a host at most
-	unknownRTTAims       = 0.25     // RTT of an unknown host, in shortest aims: it must not look free
-	penaltyAims          = 1        // base penalty of an error or refusal, in shortest aims
-	penaltyRTTs          = 2        // ... and at least so many mean RTTs of good answers
-	firstEjectionAims    = 2        // first ejection, in shortest aims
-	minErrorGap          = 30       // answers between two errors above which they are no cause to eject
-	safeProbeAims        = 8        // wait for a trial that may be sent again, in shortest aims
-	weightedLoadRatio    = 2        // loads of the second host drawn at which the one by weights gives way
-	maxRetryHintAims     = 64       // longest hint of when to come back that is heeded, in shortest aims
-	maxEjectionDoublings = 5        // doublings of an ejection at most
-	firstReconnectAims   = 1.0 / 8  // first wait for a trial where all hosts take no connection, in shortest aims
-	maxReconnectAims     = 16       // ... and the longest: a trial there sends nothing
-	coldBudgetDeviations = 3.0      // deviations of what the fleet sends by chance that a cold budget leaves
-	coldCreditDeviations = 4.0      // deviations of what the fleet sends that unused credit may add to it
-	rateSpanWindows      = 4        // span of the rate of answers, in Falls
-	minRateFraction      = 1.0 / 8  // ... of which the first answers stand for this part at least
-	quotaBurstSeconds    = 1.0      // seconds of its quota a tenant may save up
-	sweepAims            = 1.0 / 16 // time between looks at waiting requests and silent hosts, in shortest aims
-	limitRTTAims         = 0.375    // mean RTT that the in-flight limit of a host steers to, in shortest aims
-	recentRTTAims        = 0.5      // span of a host's recent mean RTT, in shortest aims: faster than hosts tip
-	minHostLimit         = 2        // ... and is never kept from holding: one runs while the next arrives
-	limitGrowth          = 0.3      // attempts that the fleet adds at a host in a round while requests wait
-	initialHostLimit     = 4        // attempts a new host may hold from the whole fleet
-	maxQueueAims         = 0.2      // of its aim that a request waits for a host at most
-	silenceDeviations    = 3        // deviations above the mean RTT after which an unheard host counts as silent
-	clientRetryWorth     = 0.5      // worth of a client's repeat while others wait, as a share: it may come late
-	arrivalWeight        = 0.02     // weight of an arrival in the shares of the lines: about the last fifty count
-	meanWeight           = 0.1      // weight of a sample in a mean: about the last ten count
-	shedFromAims         = 0.38     // mean RTT, in aims, above which requests are shed: most are still in time
-	shedUntilAims        = 0.25     // ... at which they are no more: what was late is over
-	priorLatenessAims    = 0.06     // mean RTT, in aims, that is held without evidence
-	priorAnswers         = 2        // answers that are worth as much as that: one costly answer is no crowd
-	maxLatenessWeight    = 5        // answers that are held at most: hosts tip within seconds
-	maxAdmitSteps        = 4        // steps of an answer at most: where few come, each stands for more time
-	shedStep             = 0.2      // share of what is admitted that an answer at twice that sheds
-	admitStep            = 0.1      // share of all that an answer in no time would admit again
-	shedAboveSharers     = 3        // instances at a host above which its in-flight limit leaves each less than one
-	minAdmitted          = 0.02     // share always admitted: answers must go on telling
-	subsetSharers        = 4        // instances that draw from a host: their connections and handshakes load it
-	minSubset            = 4        // hosts in a subset at least: a choice of two while some are out
-	hostsPerInFlight     = 2.5      // hosts for each request that is out when nothing is crowded
-	minDrawSubset        = 32       // hosts in a subset from which on they are drawn and not walked
-	maxDraws             = 12       // draws before the walk: with half of the hosts out they do in 99.7%
-	stallTimeDivisor     = 8        // part of an attempt's time that counts however long the gateway stood still
-	streamLoad           = 0.125    // what a flowing body holds of a host, in attempts: it waits for its client mostly
-	suspicionLoad        = 3        // times more that a host which others doubt whole counts as slower
-	ownAnswerAims        = 2        // others' refusals do not count so long after an own answer, in shortest aims
-	ignorePeerLoadEvery  = 8        // requests of which one does not heed what others have out at hosts
-	answerMarginSteps    = 2        // steps ahead of its deadline that a request is answered at the latest
-	maxReportedStartAge  = 600e9    // ns that a start may lie back when a change of the list tells it first
-	maxStartAhead        = 60e9     // ns that a start may lie ahead, by a clock that is not this one
-	listRetryDelay       = 0.8e9    // ns before a lost host list is asked for, as a mean; twice that from then on
+// Most constants are relative to settings or measured values. Those named ...Aims are multiples of
+// the shortest aim of all classes.
+const (
+	decayAims       = 8    // time constant of the RTT estimates: outlasts a gap between samples
+	decayGaps       = 8    // its lower bound, in mean gaps between own samples of a host
+	equalUpTo       = 1    // standard errors up to which a host is considered equal to the others
+	differentFrom   = 2    // standard errors from which on its RTT estimate is used in full
+	maxSampleWeight = 50   // maximum weight of the samples kept of a host, in answers
+	unknownAims     = 0.25 // RTT assumed for an unknown host: at 0 it would look idle
+	penaltyAims     = 1    // minimum RTT recorded for an error or refusal
+	penaltyRTTs     = 2    // second minimum for it, in mean RTTs of good answers
+	meanWeight      = 0.1  // weight of a sample in a moving average: about the last ten count
+
+	firstEjectionAims  = 2        // duration of the first ejection
+	maxDoublings       = 5        // maximum number of doublings of the duration of an ejection
+	minErrorGap        = 30       // good answers between two errors from which on none ejects the host
+	safeProbeAims      = 8        // time after an ejection in which only retryable requests probe
+	firstReconnectAims = 1.0 / 8  // first delay of a probe while all hosts refuse connections
+	maxReconnectAims   = 16       // maximum of that delay: such a probe sends no request
+	maxRetryHintAims   = 64       // maximum Retry-After hint of a host that is accepted
+	sweepAims          = 1.0 / 16 // interval of the checks of queues and silent hosts
+	silenceSigmas      = 3        // deviations above the mean RTT after which a host counts as silent
+	ownAnswerAims      = 2        // time after an own answer in which refusals met by peers are ignored
+
+	coldBudgetSigmas  = 3.0     // standard deviations that sends stay below the budget of a cold host
+	coldCreditSigmas  = 4.0     // standard deviations of the fleet's sends that unused credit may add
+	rateWindows       = 4       // averaging time of rates, in overload windows (Settings.Fall)
+	minRateFraction   = 1.0 / 8 // minimum fraction of it that a short history counts as
+	quotaBurstSeconds = 1.0     // seconds of its quota that a tenant may accumulate
+	maxNewStartAge    = 600e9   // maximum age of a start first reported by a list change, in ns
+	maxStartAhead     = 60e9    // maximum time of a start in the future, in ns: clocks differ
+	listRetryDelay    = 0.8e9   // maximum mean delay of the first retry of a lost list, in ns; then x2
+
+	limitRTTAims     = 0.375 // target mean RTT of the in-flight limit of a host
+	recentRTTAims    = 0.5   // averaging time of its recent RTT: shorter than an overload takes
+	minHostLimit     = 2     // minimum in-flight limit: one attempt runs while the next arrives
+	limitGrowth      = 0.3   // attempts added by the fleet per round trip while requests wait
+	initialHostLimit = 4     // in-flight limit of a new host for the whole fleet, in attempts
+	stallTimeDivisor = 8     // 1/8 of an attempt's time counts even if the gateway was stalled
+	streamLoad       = 0.125 // load of a streaming body, in attempts: it mostly waits for its client
+	suspicionLoad    = 3     // multiple of its RTT added to a host at full suspicion (1) by peers
+
+	maxQueueShare     = 0.2  // maximum time that a request waits for a host, as a share of its aim
+	clientRetryWorth  = 0.5  // factor on the worth of a client retry: it may come too late
+	arrivalWeight     = 0.02 // weight of an arrival in the shares of the queues: about 50 count
+	shedFromLateness  = 0.38 // mean RTT in aims above which requests are shed: most are in time
+	shedUntilLateness = 0.25 // mean RTT in aims below which shedding stops: the delay is over
+	priorLateness     = 0.06 // mean RTT in aims that is assumed without evidence
+	priorAnswers      = 2    // weight of that in answers, so that one slow one is no overload
+	maxLateWeight     = 5    // maximum weight of the answers kept: hosts overload within seconds
+	maxAdmitSteps     = 4    // maximum steps of one answer: a rare one stands for more time
+	shedStep          = 0.2  // share of the admitted that one answer sheds at 2x shedFromLateness
+	admitStep         = 0.1  // share of all that one answer would admit again at a mean RTT of 0
+	shedAboveSharers  = 3    // instances per host above which the in-flight limit leaves each < 1
+	minAdmitted       = 0.02 // minimum admitted share: answers must show when the overload ends
+	marginSteps       = 2    // minimum time from an answer to the deadline, in Settings.Step
+
+	subsetSharers       = 4   // target instances per host: connections and handshakes load it
+	minSubset           = 4   // minimum hosts in a subset: a choice of two while some are ejected
+	hostsPerInFlight    = 2.5 // hosts to use per request in flight when none is overloaded
+	minDrawSubset       = 32  // subset size from which on hosts are drawn, not examined in turn
+	maxDraws            = 12  // maximum draws; with half of the hosts ejected 99.7% succeed
+	weightedLoadRatio   = 2   // by weights: the first drawn is used up to this x the second's load
+	ignorePeerLoadEvery = 8   // one of so many requests ignores the in-flight attempts of peers
 )
 
 const (
-	tokenSweep = iota + 1 // look at queue and hosts
-	tokenWatch            // ask discovery
-	tokenAnswer
+	tokenSweep  = iota + 1 // check the queues and silent hosts
+	tokenWatch             // send a watch to discovery
+	tokenAnswer            // give a request its final answer before its deadline
 
-	tokenShift = 56 // a token is its kind above the request ID
+	tokenShift = 56 // bits below the kind in a token; they hold the request ID
 )
 
-// New returns a Balancer for the settings, or an error if they cannot be served.
+// New returns a Balancer for the settings, or an error if the settings are not valid.
 func New(set Settings, seed uint64) (*Balancer, error) {
 	if err := check(&set); err != nil {
 		return nil, err
@@ -97,7 +104,7 @@
 	for _, c := range set.Classes {
 		b.shortestAim, b.longestAim = min(b.shortestAim, c.Aim), max(b.longestAim, c.Aim)
 	}
-	b.round, b.admitted, b.rateSpan, b.sharers = 1, 1, rateSpanWindows*set.Fall.Seconds(), float64(set.Instances)
+	b.round, b.admitted, b.rateSpan, b.sharers = 1, 1, rateWindows*set.Fall.Seconds(), float64(set.Instances)
 	b.fleetInfo = Fleet{RankPosition(set.Rank, set.Instances), set.Instances, set.Instances}
 	for _, t := range set.Tenants {
 		r := t.Quota / float64(set.Instances)
@@ -108,9 +115,10 @@
 	return b, nil
 }
 
-// Fleet is news of who shares the hosts. Each figure is put to its safe use: the fewest there may
-// be size the part that this instance draws from, so that no host is left to nobody; the most
-// there may be divide what cold hosts and tenants may get, so that all together hold it.
+// Fleet reports how many instances share the hosts. Both bounds are used on the safe side: the minimum
+// number of instances sets the size of the subset of this instance, so that every host is used by one;
+// the maximum divides the budgets of cold hosts and the quotas of tenants, so that all instances
+// together stay within them. Values that are not valid are ignored.
 func (b *Balancer) Fleet(now Time, k Fleet) {
 	if b.now = now; k.Least < 1 || k.Most < k.Least || !(k.Place >= 0 && k.Place < 1) || k == b.fleetInfo {
 		return
@@ -123,8 +131,9 @@
 	b.serveQueues()
 }
 
-// layBands orders the waiting lines: each class has one within quota and one beyond it, and the
-// same again for repeats. Worth most is served first; of equal worth, the tighter aim.
+// buildQueues orders the queues: each class has one for requests within quota and one for those beyond
+// it, and the same two again for client retries. The queue with the highest worth is served first; of
+// equal worth, the one with the shorter aim.
 func (b *Balancer) buildQueues() {
 	type waitingQueue struct {
 		class, bits int
@@ -155,8 +164,8 @@
 	}
 }
 
-// Start is the first event: the gateway has come up. Where the list must be asked for, the
-// watch begins here, spread by place so that a fleet that starts together asks in turn.
+// Start is the first event: the gateway has started. If the host list must be polled, the watch begins
+// here, after a delay by ring position so that instances that start together do not poll at once.
 func (b *Balancer) Start(now Time) {
 	b.now = now
 	if b.set.Ask {
@@ -164,7 +173,7 @@
 	}
 }
 
-// Hosts is news of the host list.
+// Hosts reports a host list, changes to it, or the failure to get it.
 func (b *Balancer) Hosts(now Time, kind ListKind, list []Host) {
 	b.now = now
 	if kind == ListFailed {
@@ -187,18 +196,18 @@
 	b.serveQueues()
 }
 
-// layRing lays the hosts in a ring of scattered order that begins at this instance's place;
-// its subset is the first of them that are of use. A host more or less moves a subset by one
-// host at most. It guards hosts against a connection from every instance and gives an
-// instance enough samples of each. It acts where more than subsetMeet instances share a host.
-// Half a subset is of the own zone, as crossing costs, the other half anywhere: a zone may
-// have too much traffic.
+// rebuildRing arranges the hosts in a ring of pseudo-random order that begins at the position of this
+// instance; the subset is the first of them that are usable. One host more or less changes a subset
+// by at most one host. Subsets save hosts a connection from every instance and give an instance
+// enough samples of each host. They matter where more than subsetSharers instances would share a
+// host. Half of a subset is from the own zone, because crossing zones costs; the other half is from
+// any zone, because one zone may have too much traffic.
 func (b *Balancer) rebuildRing() {
 	defer b.rebuildNearSubset()
 	b.updatePositions()
 	b.warmHosts, b.backups, b.weighted, b.nextWarmAt = 0, 0, false, 0
 	nearHosts := b.nearScratch[:0]
-	hostsInZone := map[int]float64{} // hosts in each
+	hostsInZone := map[int]float64{} // number of hosts per zone
 	for _, h := range b.byPosition {
 		hostsInZone[h.Zone]++
 		if warmAt := h.coldAt + b.set.WarmAfter; !h.cold || b.now >= warmAt {
@@ -230,9 +239,10 @@
 	b.ring = b.appendRotated(b.ring, b.byPosition)
 	b.ring = b.ring[:first+len(without(b.ring[first:], b.ring[:first]))]
 	b.sharers = min(1, float64(b.subsetSize)/float64(max(b.warmHosts, 1))) * b.fleetSize
-	// What instances of its own zone and all instances walk past is what shares a cold host. Where
-	// views differ cold hosts are used within the part by Most alone, and by one more for places
-	// that do not meet: so the parts of all stay within one (docs/design/gossip.md).
+	// The sharers of a cold host are the instances that reach it in their own zone or in any zone.
+	// If Least and Most differ, cold hosts are used only in the subset computed from Most, and one
+	// more sharer is assumed because the positions of instances may disagree: so the shares of
+	// all instances sum up to at most one (docs/design/gossip.md).
 	minSize, slack := subsetSizeOf(b.fleetInfo.Most), float64(min(1, b.fleetInfo.Most-b.fleetInfo.Least))
 	half, nearest := float64(minSize/2), min(first, minSize/2)
 	anywhere := min(1, float64(minSize)/float64(max(total, 1)))
@@ -247,7 +257,7 @@
 	}
 }
 
-// layPart takes all hosts where the list is this instance's part of a longer one.
+// useWholeList uses all hosts: discovery has already selected the subset of this instance (Host.Sharers).
 func (b *Balancer) useWholeList() {
 	b.ring, b.subsetSize, b.sharers = append(b.ring[:0], b.byPosition...), len(b.byPosition), 0
 	for _, h := range b.ring {
@@ -258,7 +268,8 @@
 	b.fleetSize = b.sharers
 }
 
-// layNearby notes the near hosts of the subset, which is the least that is drawn from.
+// rebuildNearSubset collects the hosts of the subset that are in the own zone, if those are preferred,
+// and raises the number of hosts drawn from to at least the subset.
 func (b *Balancer) rebuildNearSubset() {
 	b.reach, b.nearSubset = max(b.reach, b.subsetSize), b.nearSubset[:0]
 	for _, h := range b.ring[:min(b.subsetSize, len(b.ring))] {
@@ -286,22 +297,23 @@
 		b.kindTimes = append(b.kindTimes, evidence.Mean{})
 	}
 	if entry.Started > 0 && entry.Started != started {
-		h.suspicion = 0 // of another start
+		h.suspicion = 0 // it was about an earlier start
 		b.markCold(h, max(b.startTime(&entry, kind), h.coldAt))
 	}
 }
 
-// heed makes a host what its list and the operators allow together: one that was taken out by
-// hand finishes its work and gets nothing new, whatever the list says.
+// applyState sets the state of a host to what the host list and the operators both allow: a host that
+// an operator has taken out finishes its work and gets no new requests, whatever the list says.
 func (b *Balancer) applyState(h *host) {
 	if h.State = h.listedState; b.banned[h.ID] && h.State == Ready {
 		h.State = Draining
 	}
 }
 
-// Ban takes a host out by hand, or has it used again: the list and the operators must both
-// allow it. One that comes back was worked on: nothing that was learnt of it holds, it is cold
-// as of now, and it is owed work as soon as its budget has any.
+// Ban takes a host out of service by an operator's order, or puts it back into service if out is false.
+// The host list and the operators must both allow a host. A host that is put back may have been
+// changed: its statistics are discarded, it is cold from now on, and it gets the next request that
+// its cold budget allows.
 func (b *Balancer) Ban(now Time, id HostID, out bool) {
 	b.now = now
 	if h := b.byID[id]; b.banned[id] != out {
@@ -316,10 +328,11 @@
 	}
 }
 
-// HostHealth is news of what other instances met at a host. It never takes the place of own outcomes: a
-// doubt makes the host look slower and spares it requests that must not run twice, and refusals that
-// several met eject it as one of its own would, until a trial of its own, or while others try it.
-// That acts where it has had no answer of late, and for half of the hosts at most.
+// HostHealth reports what other instances observed at a host. It never replaces own outcomes: suspicion
+// makes the host count as slower and, at 1, keeps unsafe requests away; connection refusals that several
+// peers met eject it as an own one would, until an own probe succeeds, or for as long as peers probe it.
+// The ejection applies only if the host has not answered this instance recently, and to at most half of
+// the hosts.
 func (b *Balancer) HostHealth(now Time, k HostHealth) {
 	b.now = now
 	h := b.byID[k.Host]
@@ -327,8 +340,9 @@
 		return
 	}
 	h.suspicion, h.suspicionUntil = min(max(k.Doubt, 0), 1), k.Until
-	if h.peersProbe && !(k.Down && k.Wait) { // others were answered: all may try, not all at once
-		h.peersProbe, h.ejectUntil = false, min(h.ejectUntil, now+Time(ownAnswerAims*float64(b.shortestAim)*b.float()))
+	if h.peersProbe && !(k.Down && k.Wait) { // peers got answers: all may probe, but not all at once
+		h.peersProbe, h.ejectUntil = false, min(h.ejectUntil,
+			now+Time(ownAnswerAims*float64(b.shortestAim)*b.float()))
 	}
 	switch {
 	case !k.Down || now >= k.Until || now-h.answeredAt < ownAnswerAims*b.shortestAim:
@@ -344,16 +358,18 @@
 	}
 }
 
-// PeerLoad is news of what others have out at a host. It counts as own pending does where two hosts are
-// compared, but for one request in blindIn: whatever is said, each host keeps that part of its own.
+// PeerLoad reports the in-flight attempts of peers at a host. They count like own pending attempts when
+// two hosts are compared, except for one request in ignorePeerLoadEvery: so every host keeps that share
+// of its own requests, whatever is reported.
 func (b *Balancer) PeerLoad(now Time, k Crowd) {
 	if h := b.byID[k.Host]; h != nil {
 		h.peerLoad, h.peerLoadUntil = k.Out, k.Until
 	}
 }
 
-// owed is a host that was called back and has answered nothing yet, if the request may go
-// there now and nothing else is out there. An unsafe one is not risked on it.
+// reinstatedHost returns a host that an operator has put back into service and that has not answered
+// since, if the request may go there now and no attempt is in flight at it; otherwise nil. Unsafe
+// requests are not risked on it.
 func (b *Balancer) reinstatedHost(r *request) *host {
 	for _, h := range b.reinstated {
 		if r.class.Effect != Unsafe && h.State == Ready && h.pending == 0 && b.allows(r, h) &&
@@ -364,7 +380,8 @@
 	return nil
 }
 
-// Request is a client's request, owed one final answer from here on.
+// Request reports a new client request; it gets exactly one final answer. A request with an ID in use
+// or an unknown class is ignored.
 func (b *Balancer) Request(now Time, q Request) {
 	b.now = now
 	if b.reqs[q.ID] != nil || q.Class < 0 || q.Class >= len(b.set.Classes) {
@@ -380,9 +397,9 @@
 		b.arrivals[i] *= 1 - arrivalWeight
 	}
 	b.arrivals[r.queue]++
-	b.setTimer(max(now, r.deadline-answerMarginSteps*b.set.Step), tokenAnswer<<tokenShift|uint64(q.ID))
-	if now+answerMarginSteps*b.set.Step >= r.deadline {
-		b.answer(r) // it came too late to be sent
+	b.setTimer(max(now, r.deadline-marginSteps*b.set.Step), tokenAnswer<<tokenShift|uint64(q.ID))
+	if now+marginSteps*b.set.Step >= r.deadline {
+		b.answer(r) // the deadline is too close to send it
 		return
 	}
 	if b.shouldShed(r) {
@@ -393,27 +410,29 @@
 	b.sendOrQueue(r, false)
 }
 
-// widen has an instance that sees more than its part of the load draw from more hosts, so that
-// its own requests fill none: reachShare for each that is out, as answers take while nothing is
-// crowded. Cold hosts beyond the subset have other sharers and get nothing of it.
+// widenReach lets an instance that gets more than its share of the load use more hosts than its subset,
+// so that its own requests do not fill any of them: hostsPerInFlight hosts per request in flight, as
+// estimated from the request rate and the RTT without overload. Cold hosts beyond the subset have
+// other sharers and get nothing from this instance.
 func (b *Balancer) widenReach() {
 	if b.ownRateAt == 0 {
 		b.ownRateFrom = b.now
 	}
 	b.ownRate, b.ownRateAt = b.ownRate*math.Exp(-(b.now-b.ownRateAt).Seconds()/b.rateSpan)+1/b.rateSpan, b.now
 	rate := b.ownRate / max(minRateFraction, 1-math.Exp(-(b.now-b.ownRateFrom).Seconds()/b.rateSpan))
-	b.reach = max(b.subsetSize, int(math.Ceil(hostsPerInFlight*rate*min(b.meanRTT.mean, shedUntilAims*b.shortestAim.Seconds()))))
+	b.reach = max(b.subsetSize, int(math.Ceil(hostsPerInFlight*rate*
+		min(b.meanRTT.mean, shedUntilLateness*b.shortestAim.Seconds()))))
 }
 
-// shed says whether a request is refused on arrival: requests are admitted in the
-// order of their worth up to the share that hosts serve in time. It guards against
-// hosts that are crowded by many instances at once, of which each holds so little
-// that no in-flight limit of its own could tell. It acts while answers are late.
+// shouldShed reports whether a request is refused on arrival: requests are admitted in the order of
+// their worth up to the share that hosts serve in time. It protects hosts that many instances overload
+// together while each has so few attempts there that no in-flight limit of its own can detect it. It
+// applies while answers are late.
 func (b *Balancer) shouldShed(r *request) bool {
 	if b.admitted >= 1 || b.sharers <= shedAboveSharers {
 		return false
 	}
-	if b.lateness() < shedUntilAims { // nothing speaks for a crowd any more
+	if b.lateness() < shedUntilLateness { // no sign of overload any more
 		b.admitted = 1
 		return false
 	}
@@ -427,34 +446,34 @@
 	return b.admitted*all < before+b.arrivals[r.queue]*b.float()
 }
 
-// press moves the share admitted by how late an answer came, in aims, weighed by worth.
-// One that did not come by the deadline says as much as two.
+// recordLateness adjusts the admitted share by how late an answer was, as a fraction of its aim, weighted
+// by worth. A missing answer at the deadline counts as two (answers).
 func (b *Balancer) recordLateness(c *Class, rtt, answers float64) {
 	b.meanWorth.add(c.Worth)
 	steps := min(maxAdmitSteps, max(1, float64(b.now-b.latenessAt)/float64(b.longestAim)*4))
 	b.latenessAt = b.now
 	b.lateness()
-	b.latenessEvidence.Add(min(1, rtt/c.Aim.Seconds()), answers*min(c.Worth/b.meanWorth.mean, 2), maxLatenessWeight)
-	if over := b.lateness()/shedFromAims - 1; over > 0 {
+	b.relativeRTT.Add(min(1, rtt/c.Aim.Seconds()), answers*min(c.Worth/b.meanWorth.mean, 2), maxLateWeight)
+	if over := b.lateness()/shedFromLateness - 1; over > 0 {
 		b.admitted = max(minAdmitted, b.admitted*math.Pow(1-shedStep*min(over, 1), steps))
 	} else {
 		b.admitted = min(1, b.admitted-admitStep*over*steps)
 	}
 }
 
-// lateness is how late answers are, in aims, by what is held of the last few.
+// lateness returns the estimated mean RTT of the last few answers, in aims.
 func (b *Balancer) lateness() float64 {
-	b.latenessEvidence.Fade(b.now, b.longestAim)
-	return b.latenessEvidence.Toward(priorLatenessAims, priorAnswers)
+	b.relativeRTT.Fade(b.now, b.longestAim)
+	return b.relativeRTT.Toward(priorLateness, priorAnswers)
 }
 
-// The parts of a class that wait in lines of their own.
+// The bits that select one of the four queues of a class.
 const (
-	overQuota   = 1 << iota // beyond the tenant's quota
-	clientRetry             // the client has asked before
+	overQuota   = 1 << iota // the request is beyond the quota of its tenant
+	clientRetry             // the request is a client retry
 )
 
-// part says which part of its class a request belongs to.
+// queueBits returns which queue of its class a request belongs to, and uses up quota of its tenant.
 func (b *Balancer) queueBits(r *request) (bits int) {
 	if r.Tenant >= 0 && r.Tenant < len(b.quotas) && !b.quotas[r.Tenant].take(b.now) {
 		bits |= overQuota
@@ -465,7 +484,8 @@
 	return bits
 }
 
-// Started says that a stream has begun: the request belongs to that attempt.
+// Started reports that the answer stream of attempt n has begun: the request is committed to that
+// attempt, and other attempts are canceled.
 func (b *Balancer) Started(now Time, id RequestID, n int) {
 	b.now = now
 	if r := b.reqs[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) {
@@ -474,9 +494,9 @@
 	}
 }
 
-// RequestBodyPending says that the body of an attempt's request is still coming from the client: how
-// long that takes is no fault of the host's, of which it holds a part, and the request's time
-// begins with the last byte.
+// RequestBodyPending reports that the body of the request of attempt n is still arriving from the client.
+// The host is not blamed for that time; the attempt counts as a streaming body there, and the time of
+// the request begins with the last byte.
 func (b *Balancer) RequestBodyPending(now Time, id RequestID, n int) {
 	b.now = now
 	if a := b.openAttempt(id, n); a != nil && !a.streaming {
@@ -485,7 +505,7 @@
 	}
 }
 
-// RequestBodySent says that the last byte of a request that was Feeding has gone out.
+// RequestBodySent reports that the last byte of a request after RequestBodyPending has been sent.
 func (b *Balancer) RequestBodySent(now Time, id RequestID, n int) {
 	b.now = now
 	if a := b.openAttempt(id, n); a != nil && a.req.bodyPending {
@@ -495,16 +515,17 @@
 	}
 }
 
-// fedUp gives a request that was fed its whole time from now on.
+// restartDeadline gives a request whose body has been sent its whole time, counted from now.
 func (b *Balancer) restartDeadline(r *request) {
 	r.bodyPending, r.deadlineMoved, r.arrived = false, true, b.now
 	r.deadline = b.now + min(max(r.Left, 0), r.class.Deadline)
-	b.setTimer(r.deadline-answerMarginSteps*b.set.Step, tokenAnswer<<tokenShift|uint64(r.ID))
+	b.setTimer(r.deadline-marginSteps*b.set.Step, tokenAnswer<<tokenShift|uint64(r.ID))
 }
 
-// ResponseStreaming says that the head of the final answer came, with the result that it would have if
-// it were all, after the host had taken so long, and that its body flows as far as the client
-// takes it in. That holds a part of the host until the Outcome, and tells nothing of its speed.
+// ResponseStreaming reports that the head of the final answer has arrived after took, and that its body is
+// now streamed as fast as the client reads it. result is what the result would be if the answer ended
+// here. Until its Outcome the body counts as a streaming body of the host; its duration says nothing
+// about the speed of the host.
 func (b *Balancer) ResponseStreaming(now Time, id RequestID, n int, result Result, took Time) {
 	b.now = now
 	a := b.openAttempt(id, n)
@@ -517,7 +538,7 @@
 	b.serveQueues()
 }
 
-// Outcome is the end of an attempt.
+// Outcome reports the end of an attempt. An unknown or already ended attempt is ignored.
 func (b *Balancer) Outcome(now Time, o Outcome) {
 	b.now = now
 	r := b.reqs[o.Request]
@@ -529,11 +550,11 @@
 	a.hint = min(o.After, maxRetryHintAims*b.shortestAim).Seconds()
 	r.inFlight--
 	a.leaveHost()
-	if a.responseStreaming && o.Result == Reset { // a body that breaks off is a connection that does
+	if a.responseStreaming && o.Result == Reset { // the connection broke within the body
 		b.recordRTT(a.host, b.penalty())
 		b.eject(a.host, "connections fail")
 	}
-	if !a.responseStreaming { // else its head has told all
+	if !a.responseStreaming { // otherwise the result was recorded at the head of the answer
 		if r.bodyPending {
 			b.restartDeadline(r)
 		}
@@ -544,20 +565,21 @@
 	b.serveQueues()
 }
 
-// Stalled says that the gateway itself stood still, or was behind, for d until now. What its
-// hosts answered meanwhile was seen late, which is no slowness of theirs: taken for one, it
-// would cut what they may hold, and requests refused for that would come again.
+// Stalled reports that the gateway itself was stalled or behind for the duration d until now. Answers
+// that hosts gave in that time were seen late, which does not mean that the hosts were slow: otherwise
+// their in-flight limits would be cut, and requests refused for that would be retried by clients.
 func (b *Balancer) Stalled(now, d Time) {
 	b.now = now
 	b.stallTime += d
 }
 
-// took is how long an attempt has taken after so long, less what the gateway stood still.
+// countedTime returns the elapsed time of an attempt less the time that the gateway was stalled, but at
+// least a stallTimeDivisor-th of it.
 func (b *Balancer) countedTime(a *attempt, elapsed Time) Time {
 	return max(elapsed-(b.stallTime-a.stallTime), elapsed/stallTimeDivisor)
 }
 
-// ClientGone says that nobody waits for the request any more.
+// ClientGone reports that the client no longer waits for the request.
 func (b *Balancer) ClientGone(now Time, id RequestID) {
 	b.now = now
 	if r := b.reqs[id]; r != nil && !r.done {
@@ -565,7 +587,7 @@
 	}
 }
 
-// Timer is a Wake that has come due.
+// Timer reports that the timer of a Wake action has fired.
 func (b *Balancer) Timer(now Time, token uint64) {
 	b.now = now
 	switch token >> tokenShift {
@@ -586,7 +608,8 @@
 		}
 	case tokenAnswer:
 		r := b.reqs[RequestID(token&(1<<tokenShift-1))]
-		if r == nil || r.done || r.committed || r.bodyPending || r.deadlineMoved && now < r.deadline-answerMarginSteps*b.set.Step {
+		if r == nil || r.done || r.committed || r.bodyPending ||
+			r.deadlineMoved && now < r.deadline-marginSteps*b.set.Step {
 			return
 		}
 		b.recordOverdue(r)
@@ -594,8 +617,8 @@
 	}
 }
 
-// overdue learns from a request that has no answer at its deadline as from a
-// time-out: called off, its attempts would tell nothing of hosts that are so late.
+// recordOverdue records the attempts in flight of a request that is given up for lateness like time-outs:
+// they are canceled, and their outcomes would not count against hosts that are so late.
 func (b *Balancer) recordOverdue(r *request) {
 	for _, a := range r.attempts {
 		if !a.ended && !a.streaming {
@@ -607,8 +630,8 @@
 	}
 }
 
-// place sends the request if a host is ready for it and else lets it wait. It
-// does not overtake what waits already.
+// sendOrQueue sends the request if a host is ready for it, and queues it otherwise. It does not overtake
+// requests that already wait.
 func (b *Balancer) sendOrQueue(r *request, again bool) {
 	if b.queued == 0 {
 		if h := b.pick(r); h != nil {
@@ -620,9 +643,10 @@
 	b.serveQueues()
 }
 
-// pick is the ordinary path: of two random ready hosts, the less loaded. Where near hosts
-// are preferred and that one is remote, the less loaded of two near ones is weighed against
-// it: the near zone is used until it is slower by what crossing costs.
+// pick selects a host on the normal path: of two random ready hosts, the less loaded one. If hosts of
+// the own zone are preferred and the selected one is remote, it is compared with the less loaded of
+// two near ones: the own zone is used until it is slower by the cost of crossing zones. It returns nil
+// if no host is ready.
 func (b *Balancer) pick(r *request) *host {
 	b.pickCount++
 	b.peerLoadFactor = float64(min(b.pickCount%ignorePeerLoadEvery, 1))
@@ -643,12 +667,14 @@
 	}
 	atLimit := b.collectReady(r, false)
 	if len(b.readyScratch)+atLimit == 0 && b.backups > 0 {
-		atLimit = b.collectReady(r, true) // none of the others can take it
+		atLimit = b.collectReady(r, true) // no other host can take the request
 	}
-	// Fail open: when most hosts are out, the fault is more likely the path or the load
-	// than every host, and the few left must not take it all. Not if they take no connection.
+	// Fail open: if most hosts are ejected, the cause is more likely the network path or the load
+	// than every host, and the few others must not get all requests. Hosts that refuse connections
+	// are excluded.
 	if len(b.ejectedScratch) > len(b.readyScratch)+atLimit {
-		b.log(logFailOpen, "%d hosts are ejected, most that are near: using them all the same", len(b.ejectedScratch))
+		b.log(logFailOpen, "%d hosts are ejected, most that are near: using them all the same",
+			len(b.ejectedScratch))
 		for _, h := range b.ejectedScratch[:min(len(b.ejectedScratch), b.subsetSize)] {
 			if !b.coldBlocked(h) && !b.atLimit(h) {
 				b.readyScratch = append(b.readyScratch, h)
@@ -665,8 +691,9 @@
 	if n == 1 {
 		return b.readyScratch[0]
 	}
-	// By weights the two draws are independent, and the first stands unless the second is much
-	// lighter: peaks of a host that gets more are higher, and would share work out evenly.
+	// With weights the two draws are independent, and the first is used unless the second has much
+	// less load: a host with a larger weight has higher RTT peaks, and a plain comparison would
+	// distribute the work evenly.
 	if b.weighted {
 		x, y := b.drawByWeight(b.readyScratch), b.drawByWeight(b.readyScratch)
 		if b.load(x) > weightedLoadRatio*b.load(y) {
@@ -674,8 +701,8 @@
 		}
 		return x
 	}
-	// Two random ones, as cards are dealt: those that had none in this pass come first. Of few
-	// requests chance alone would give one host three in a row.
+	// Two random hosts, preferring those that were not used in this selection round: with few
+	// requests, pure chance would often send three in a row to one host.
 	x, y, lowest, secondLowest := (*host)(nil), (*host)(nil), 2.0, 2.0
 	for _, h := range b.readyScratch {
 		rank := b.float()
@@ -694,9 +721,9 @@
 	return b.lessLoaded(x, y)
 }
 
-// lastResort is the host to try where none of the subset takes connections, nil: none yet. It guards
-// against a path that fails for a moment, which ejects them all: waits begin short, and grow while no
-// host is reached.
+// lastResort returns the host to connect to if all hosts of the subset refuse connections, or nil if it
+// is too early for another attempt. It handles a network path that fails for a moment, which ejects all
+// hosts: delays begin short, and grow while no host is reached.
 func (b *Balancer) lastResort(r *request) (best *host) {
 	for _, h := range b.ring[:min(b.reach, len(b.ring))] {
 		if h.State != Ready || !h.down || h.probing || h.peersProbe || b.now < h.retryAt || !b.allows(r, h) {
@@ -712,16 +739,16 @@
 	return best
 }
 
-// walk collects the hosts of the subset that are ready, and those that are ejected, either of
-// the backups or of all others. It says how many more hold all they may.
+// collectReady collects the ready hosts and the ejected hosts of the subset, considering either only
+// backup hosts or only the others. It returns how many more hosts are at their in-flight limit.
 func (b *Balancer) collectReady(r *request, backups bool) (atLimit int) {
 	b.readyScratch, b.ejectedScratch = b.readyScratch[:0], b.ejectedScratch[:0]
 	for i, h := range b.ring {
 		if h.Backup != backups {
 			continue
 		}
-		// The walk ends with the subset, however few are of use: were each instance to seek
-		// on, those few would hold one attempt of every instance, and all be late.
+		// The loop ends with the subset, however few of its hosts are usable: if each instance
+		// searched on, those few would get an attempt of every instance, and all would be late.
 		if n := len(b.readyScratch) + atLimit; n == b.reach || n > 1 && i >= b.reach {
 			break
 		}
@@ -731,7 +758,7 @@
 		case b.ejected(r, h):
 			b.ejectedScratch = append(b.ejectedScratch, h)
 		case b.coldBlocked(h):
-		case h.cold && !h.usableCold: // those further on have other sharers
+		case h.cold && !h.usableCold: // hosts further on have other sharers
 		case b.atLimit(h):
 			atLimit++
 		default:
@@ -741,7 +768,7 @@
 	return atLimit
 }
 
-// lighter is the less loaded of two hosts, or the one that there is.
+// lessLoaded returns the less loaded of two hosts; either may be nil.
 func (b *Balancer) lessLoaded(x, y *host) *host {
 	if x == nil || y != nil && b.load(y) < b.load(x) {
 		return y
@@ -749,9 +776,9 @@
 	return x
 }
 
-// draw is pick in a large subset: hosts are drawn until two that are ready have been, which
-// makes them two random ready ones as well, at a cost that does not grow with the subset.
-// It gives way to the walk where the subset is small or many of those drawn are of no use.
+// drawRandom selects a host in a large subset: hosts are drawn at random until two of them are ready,
+// which gives two random ready hosts at a cost that does not grow with the subset. It returns nil, and
+// collectReady is used instead, if the subset is small, hosts have weights, or too few draws are ready.
 func (b *Balancer) drawRandom(r *request) *host {
 	n := min(b.reach, len(b.ring))
 	if n < minDrawSubset || b.weighted {
@@ -764,7 +791,7 @@
 	return b.lessLoaded(x, y)
 }
 
-// drawTwo draws until two hosts that are ready have been; nil: too few were.
+// drawTwo draws hosts at random until two of them are ready. Results that were not found are nil.
 func (b *Balancer) drawTwo(r *request, from []*host) (one, two *host) {
 	seen := 0
 	for range maxDraws {
@@ -786,8 +813,8 @@
 	return one, nil
 }
 
-// load is the score of a host: its estimate now x (own pending + 1). A host of
-// another zone counts as slower by what crossing costs, in shares of the shortest aim.
+// load returns the score of a host: its RTT estimate x (own pending attempts + 1). A host of another zone
+// counts as slower by the cost of crossing zones, a fraction of the shortest aim.
 func (b *Balancer) load(h *host) float64 {
 	rtt := b.believedRTT(h)
 	if b.remote(h) {
@@ -798,8 +825,8 @@
 	return rtt * ((float64(h.pending)+others+streamLoad*float64(h.streams))/h.weight() + 1)
 }
 
-// estimate reads the RTT decayed toward zero, so that a host that was
-// penalised and then left alone drifts back into use.
+// decayedRTT returns the RTT estimate in seconds, decayed toward zero so that a host that was penalized
+// and then left unused is gradually used again.
 func (b *Balancer) decayedRTT(h *host) float64 {
 	if h.unsampled {
 		return b.initialRTT(h) * b.estimateWeight(h)
@@ -807,9 +834,10 @@
 	return h.rtt * b.estimateWeight(h)
 }
 
-// believed is the estimate as far as evidence says that the host differs from the others: of
-// few samples a peak tells more of the request than of the host, and hosts alike would get
-// unlike parts. Where they are many, or plain, it stands whole; so does a penalty.
+// believedRTT returns the RTT estimate in seconds, drawn toward the mean of all hosts unless there is
+// evidence that the host differs: with few samples, a peak says more about the request than about the
+// host, and equal hosts would get unequal shares. With many or clear samples the estimate counts in
+// full; so does a penalty.
 func (b *Balancer) believedRTT(h *host) float64 {
 	average := b.meanRTT.mean
 	if e := b.decayedRTT(h); !b.meanRTT.seen || h.unsampled || h.penalized && e > average {
@@ -817,11 +845,12 @@
 	}
 	h.penalized = false
 	h.relativeTimes.Fade(b.now, b.estimateDecay())
-	confidence := evidence.Sure(h.relativeTimes.Apart(0, b.noise.Deviation(1, priorAnswers), 1), equalUpToErrors, differentFromErrors)
+	confidence := evidence.Sure(h.relativeTimes.Apart(0, b.noise.Deviation(1, priorAnswers), 1),
+		equalUpTo, differentFrom)
 	return (average + (h.rtt-average)*confidence) * b.estimateWeight(h)
 }
 
-// tell takes in how many times longer an answer took than its class does, as a logarithm.
+// recordRelativeTime records the logarithm of the ratio of the RTT of an answer to the mean of its class.
 func (b *Balancer) recordRelativeTime(h *host, rtt, classMean float64) {
 	if rtt > 0 && classMean > 0 {
 		x := math.Log(rtt / classMean)
@@ -836,38 +865,38 @@
 	}
 }
 
-// seed is the estimate of a host that has given no sample: the mean RTT of its kind
-// or, before its kind has given any, a share of the shortest aim. It guards the slow
-// hosts of a large fleet, where each instance meets each host seldom, against an equal
-// share, which is more than they can do. Acts until the first sample.
+// initialRTT returns the RTT estimate in seconds of a host without samples: the mean RTT of its kind or,
+// if its kind has no samples, a fraction of the shortest aim. In a large fleet each instance rarely
+// uses each host; without it slow hosts would get an equal share there, which is more than they can
+// serve. It applies until the first sample.
 func (b *Balancer) initialRTT(h *host) float64 {
 	if b.kindTimes[h.Kind].N > 0 {
 		return b.meanRTT.mean * b.kindSlowdown(h)
 	}
-	return unknownRTTAims * b.shortestAim.Seconds()
+	return unknownAims * b.shortestAim.Seconds()
 }
 
-// slower is how many times longer the host's kind takes than all do.
+// kindSlowdown returns the ratio of the time of the kind of the host to the mean of all hosts.
 func (b *Balancer) kindSlowdown(h *host) float64 { return math.Exp(b.kindTimes[h.Kind].Toward(0, 1)) }
 
-// penalty is the base penalty of an error or a refusal. It grows with the mean RTT:
-// beside hosts that answer late, one that refuses at once would be the best choice.
+// penalty returns the minimum RTT in seconds recorded for an error or a refusal. It grows with the mean
+// RTT: next to slow hosts, a host that refuses at once would otherwise be the best choice.
 func (b *Balancer) penalty() float64 {
 	return max(penaltyAims*b.shortestAim.Seconds(), penaltyRTTs*b.meanRTT.mean)
 }
 
-// fade is the weight that a host's estimate has kept since its last sample. Where
-// samples of a host come seldom, a decay of a few aims would leave nothing of one by
-// the next and the draw would be of chance: it grows with the gap between samples.
+// estimateWeight returns the weight that the RTT estimate of a host has kept since its last sample. If
+// samples of a host are rare, a decay within a few aims would leave nothing of one by the next sample
+// and the selection would be random; so the time constant grows with the gap between samples.
 func (b *Balancer) estimateWeight(h *host) float64 {
 	return math.Exp(-float64(b.now-h.rttAt) / float64(b.estimateDecay()))
 }
 
 func (b *Balancer) estimateDecay() Time {
-	return max(estimateDecayAims*b.shortestAim, Time(1e9*estimateDecayGaps*b.sampleGap.mean))
+	return max(decayAims*b.shortestAim, Time(1e9*decayGaps*b.sampleGap.mean))
 }
 
-// sample enters an RTT: above the estimate decayed to now it replaces it, below
+// recordRTT records an RTT in seconds: if it is above the decayed estimate it replaces the estimate, below
 // it is blended in.
 func (b *Balancer) recordRTT(h *host, rtt float64) {
 	if h.unsampled {
@@ -883,7 +912,7 @@
 	h.rttAt = b.now
 }
 
-// allows says whether the class rules let the request go to the host now.
+// allows reports whether the rules of the class let the request go to the host now.
 func (b *Balancer) allows(r *request, h *host) bool {
 	first := r.first()
 	switch c := r.class; {
@@ -899,35 +928,36 @@
 	return true
 }
 
-// repeatable says whether a request of the class may be sent (again) somewhere,
-// given its first attempt that may have run: an unsafe one never, a keyed one only
-// while repeats are sure to be dropped.
+// retryable reports whether a request of the class may be sent (again), given its first attempt that may
+// have run (nil if there is none): an unsafe request never, a keyed one only while hosts are sure to drop
+// duplicates.
 func (b *Balancer) retryable(c *Class, first *attempt) bool {
 	if first == nil || c.Effect == Safe {
 		return true
 	}
-	return c.Effect == Keyed && b.now-first.sent <= c.Window-answerMarginSteps*b.set.Step
+	return c.Effect == Keyed && b.now-first.sent <= c.Window-marginSteps*b.set.Step
 }
 
-// ejected says whether a host that failed is out of the draw: until its back-off
-// ends, and then for all but one trial at a time. The trial is a request that may be
-// sent again, while there are such: one that may not would be lost to a failing host.
+// ejected reports whether a request may not go to a host because of failures: until the ejection ends,
+// and then for all but one probe at a time. The probe is a request that may be retried, unless there is
+// none for safeProbeAims: an unsafe one would be lost at a failing host. Full suspicion by peers also
+// keeps unsafe requests away.
 func (b *Balancer) ejected(r *request, h *host) bool {
 	unsafe := r.class.Effect == Unsafe
 	return unsafe && b.unlessExpired(h.suspicion, h.suspicionUntil) == 1 || h.ejections > 0 &&
 		(b.now < h.ejectUntil || h.probing || unsafe && b.now < h.ejectUntil+safeProbeAims*b.shortestAim)
 }
 
-// Usable says whether a request of the class could be sent to any host now, were none
-// full: where not, the gateway may have another fleet of hosts for it.
+// Usable reports whether a request of the class could be sent to any host now if none were at its limit.
+// If not, the gateway may use another pool of hosts for it.
 func (b *Balancer) Usable(now Time, class int) bool {
 	b.now = now
 	r := request{class: &b.set.Classes[class]}
 	return slices.ContainsFunc(b.hosts, func(h *host) bool { return h.State == Ready && !b.ejected(&r, h) })
 }
 
-// Capacity is how many attempts this instance may have out, as hosts are now: the sum of
-// the limits of those that are in use. Backups count where there is nothing else.
+// Capacity returns how many attempts this instance may have in flight now: the sum of its shares of the
+// limits of the hosts in use. Backup hosts count only if there are no others.
 func (b *Balancer) Capacity(now Time) (n float64) {
 	b.now = now
 	backups := 0.0
@@ -943,8 +973,8 @@
 	return cmp.Or(n, backups)
 }
 
-// ColdSendRate is how many requests a second this instance may send while all hosts that it may use
-// are cold; 0: one of them is warm, and no budget of cold hosts bounds the whole.
+// ColdSendRate returns how many requests per second this instance may send if all its usable hosts are
+// cold. 0 means that there is no such bound, as at least one usable host is warm, or no host is usable.
 func (b *Balancer) ColdSendRate(now Time) (rate float64) {
 	b.now = now
 	for _, h := range b.hosts {
@@ -960,12 +990,12 @@
 	return rate
 }
 
-// eject takes a host out of the draw, longer each time in a row.
+// eject ejects a host, each time in a row for longer. It does nothing if the host is ejected now.
 func (b *Balancer) eject(h *host, why string) {
 	if h.ejections > 0 && b.now < h.ejectUntil {
 		return
 	}
-	d := float64(firstEjectionAims*b.shortestAim) * float64(int(1)<<min(h.ejections, maxEjectionDoublings))
+	d := float64(firstEjectionAims*b.shortestAim) * float64(int(1)<<min(h.ejections, maxDoublings))
 	h.ejectUntil = b.now + Time(d*(0.75+0.5*b.float()))
 	h.ejections++
 	if h.ejections == 1 {
@@ -973,8 +1003,8 @@
 	}
 }
 
-// atLimit says whether a host holds as much from this instance as it may: one at
-// least, as rests of a limit below one starve hosts where many share them.
+// atLimit reports whether a host has as many attempts of this instance in flight as allowed, which is at
+// least one: with many sharers, the share of a limit may be below one, and the host would get nothing.
 func (b *Balancer) atLimit(h *host) bool {
 	return h.pending > 0 && float64(h.pending+1) > h.limit/b.sharers
 }
@@ -990,13 +1020,13 @@
 	h.lastRound = b.round
 	a.link.item = a
 	h.inFlight.pushBack(&a.link)
-	h.credit = min(h.credit-1, 1) // counts while the host is cold
+	h.credit = min(h.credit-1, 1) // used only while the host is cold
 	b.addAction(Action{Kind: Send, Request: r.ID, Host: h.ID})
 	b.inFlight++
 	b.sweepSoon()
 }
 
-// observe learns from the end of an attempt.
+// recordResult updates the statistics of the host with the result of an attempt; rtt is in seconds.
 func (b *Balancer) recordResult(a *attempt, rtt float64) {
 	h := a.host
 	if a.probe {
@@ -1023,14 +1053,14 @@
 		b.readmit(h)
 	case Full, Busy:
 		h.penalized = true
-		// Refusals come at once: a host that gives nothing else would draw all that waits.
+		// Refusals are fast: by its RTT alone, a host that only refuses would get all queued requests.
 		b.adjustLimit(h, max(rtt, b.penalty()), a.sent)
 		b.recordRTT(h, max(rtt, b.penalty(), a.hint))
 		b.readmit(h)
 	case Failed:
 		h.penalized = true
 		b.recordRTT(h, max(rtt, b.penalty(), a.hint))
-		if h.answersSinceError < minErrorGap || b.sharers > shedAboveSharers { // often, or seldom seen, so each counts
+		if h.answersSinceError < minErrorGap || b.sharers > shedAboveSharers { // frequent, or few samples
 			b.eject(h, "errors")
 		}
 		h.answersSinceError = 0
@@ -1051,10 +1081,10 @@
 	}
 }
 
-// adjust steers a host's in-flight limit so that its mean RTT stays at a share of the shortest
-// aim. It guards against crowding, which wastes the work of requests that come too late and can
-// tip a host into a slow state; it acts above that share, and then once a round: only an
-// attempt sent after the last cut can tell whether that was enough.
+// adjustLimit adjusts the in-flight limit of a host so that its mean RTT stays at limitRTTAims shortest
+// aims. It prevents overload, which wastes the work of requests that are answered too late and can move
+// a host into a persistently slow state. It cuts the limit above that RTT, at most once per round trip:
+// only an attempt sent after the last cut shows whether that cut was enough.
 func (b *Balancer) adjustLimit(h *host, rtt float64, sent Time) {
 	h.recentRTT.addAt(rtt, b.now, recentRTTAims*b.shortestAim.Seconds())
 	target := limitRTTAims * b.shortestAim.Seconds()
@@ -1068,7 +1098,7 @@
 	}
 }
 
-// readmit ends an ejection: the host has answered.
+// readmit ends an ejection because the host has answered.
 func (b *Balancer) readmit(h *host) {
 	h.answeredAt = b.now
 	if h.ejections == 0 {
@@ -1078,9 +1108,8 @@
 	b.log(logReturn, "host %x is back", h.ID)
 }
 
-// settle decides what follows the end of an attempt: nothing if the request
-// has its answer, another attempt if class and time allow it, and else
-// the final answer.
+// settle decides what follows the end of an attempt: nothing if the request has its answer, another
+// attempt if its class and the time left allow it, and otherwise the final answer.
 func (b *Balancer) settle(r *request, a *attempt, closed bool) {
 	switch {
 	case r.done:
@@ -1096,14 +1125,16 @@
 }
 
 func (b *Balancer) mayRetry(r *request) bool {
-	if r.committed || len(r.attempts)+r.Spent >= b.set.MaxAttempts || b.now+2*answerMarginSteps*b.set.Step >= r.deadline {
+	if r.committed || len(r.attempts)+r.Spent >= b.set.MaxAttempts ||
+		b.now+2*marginSteps*b.set.Step >= r.deadline {
 		return false
 	}
 	return b.retryable(r.class, r.first())
 }
 
-// answer gives the final answer to a request that will not be served: a refusal only where trying
-// again is known to be harmless, for a keyed one as long as hosts drop what comes back.
+// answer gives the final answer to a request that will not be served: Refuse only if a client retry is
+// known to be harmless, which for a keyed request holds as long as hosts drop duplicates; otherwise
+// Fail.
 func (b *Balancer) answer(r *request) {
 	first, keyed := r.first(), r.class.Effect == Keyed && r.class.Group == GroupAll
 	if first == nil || r.class.Effect == Safe ||
@@ -1126,7 +1157,7 @@
 	b.release(r)
 }
 
-// cancelOthers calls off what is in flight for the request but attempt keep.
+// cancelOthers cancels all attempts in flight of the request except attempt keep (-1: none).
 func (b *Balancer) cancelOthers(r *request, keep int) {
 	for i, a := range r.attempts {
 		if i != keep && !a.ended && b.set.Cancel {
@@ -1135,15 +1166,16 @@
 	}
 }
 
-// enqueue lets a request wait in its line, a repeat at the front, for a small share of its aim:
-// refused early, a client may yet be served in time, and what is sent has the rest left.
+// enqueue queues a request, at the front if it is a retry by the gateway, for a small fraction of its
+// aim: a client that is refused early may still be served elsewhere in time, and a request that is
+// sent has the rest of its aim left.
 func (b *Balancer) enqueue(r *request, front bool) {
-	r.queueDeadline = r.arrived + Time(maxQueueAims*float64(r.class.Aim))
+	r.queueDeadline = r.arrived + Time(maxQueueShare*float64(r.class.Aim))
 	b.push(r, front)
 	b.sweepSoon()
 }
 
-// pump turns away what has waited too long and sends what waits, worth most first.
+// serveQueues refuses requests that have waited too long and sends queued ones, highest worth first.
 func (b *Balancer) serveQueues() {
 	for i := range b.queues {
 		for n := b.queues[i].head; n != nil && b.now >= n.item.queueDeadline; n = b.queues[i].head {
@@ -1156,8 +1188,8 @@
 	b.sweepSoon()
 }
 
-// serve sends what waits in a line. A repeat bound to its group does not hold up
-// those behind it. It says whether no host is ready for a request sent nowhere yet.
+// serveQueue sends the requests of one queue. A retry that is bound to its group of hosts does not block
+// those behind it. It reports whether no host is ready for a request that has not been sent yet.
 func (b *Balancer) serveQueue(queue *list[request]) (full bool) {
 	for n := queue.head; n != nil; {
 		r, next := n.item, n.next
@@ -1172,33 +1204,34 @@
 	return false
 }
 
-// patience is how long an attempt may take before its host counts as silent.
+// silenceTimeout returns how long an attempt may take before its host counts as silent.
 func (b *Balancer) silenceTimeout(r *request) Time {
 	if l := &b.classRTT[r.Class]; l.seen {
-		return Time(1e9 * (l.mean + silenceDeviations*l.dev))
+		return Time(1e9 * (l.mean + silenceSigmas*l.dev))
 	}
 	return r.class.Aim / 2
 }
 
-// listen looks for silent hosts: those that have answered nothing since their oldest attempt
-// was sent, longer ago than such a request should take. They are ejected until they answer or
-// a trial does. It guards against hosts that take requests and answer none. What waits there
-// stays: most often it is answered yet, and sent again it costs more.
+// ejectSilent ejects silent hosts until they answer: those that have answered nothing since their oldest
+// attempt was sent, and for longer than such a request should take. It handles hosts that accept requests
+// and answer none. Requests in flight there stay: most of them are answered later, and a retry costs
+// more. It also recounts the attempts in flight.
 func (b *Balancer) ejectSilent() {
 	b.inFlight = 0
 	for _, h := range b.hosts {
 		b.inFlight += h.pending
-		n := h.inFlight.head // the oldest
-		if n == nil || n.item.sent < h.answeredAt || b.countedTime(n.item, b.now-n.item.sent) < b.silenceTimeout(n.item.req) {
+		n := h.inFlight.head // the oldest attempt
+		if n == nil || n.item.sent < h.answeredAt ||
+			b.countedTime(n.item, b.now-n.item.sent) < b.silenceTimeout(n.item.req) {
 			continue
 		}
 		b.eject(h, "silent")
 	}
 }
 
-// relieve gives up requests that are out past their aim and may be repeated, so that those
-// that wait find room. It guards against requests that cost many times the usual, each of which
-// holds a host until its deadline, as does the client's repeat. It acts while requests wait.
+// giveUpOverdue gives up requests that are in flight past their aim and may be repeated, to make room for
+// those that wait. It handles requests that cost many times the usual: each, and then its client retry,
+// would occupy a host until its deadline. It applies while requests wait and Settings.Cancel is set.
 func (b *Balancer) giveUpOverdue() {
 	if b.queued == 0 || !b.set.Cancel {
 		return
@@ -1214,6 +1247,7 @@
 	}
 }
 
+// sweepSoon schedules a check of queues and silent hosts, unless one is scheduled or there is no work.
 func (b *Balancer) sweepSoon() {
 	if b.sweepAt == 0 && (b.queued > 0 || b.inFlight > 0) {
 		b.sweepAt = b.now + max(b.set.Step, Time(float64(b.shortestAim)*sweepAims))
@@ -1221,13 +1255,13 @@
 	}
 }
 
-// watchIn asks discovery for changes after d.
+// watchIn schedules a watch of the host list after d.
 func (b *Balancer) watchIn(d Time) {
 	b.watchAt = b.now + d
 	b.setTimer(b.watchAt, tokenWatch<<tokenShift)
 }
 
-// lostList asks again with a growing, jittered back-off; the old list stands.
+// hostListLost retries the watch with a growing, jittered back-off; the last list stays in use.
 func (b *Balancer) hostListLost() {
 	if b.watching || b.watchFails == 0 {
 		b.log(logLost, "host list lost, asking again")
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -11,7 +11,7 @@
 func TestSampleAndEstimate(t *testing.T) {
 	g := start(t, basic(), hosts(1)...)
 	h := g.b.hosts[0]
-	tau := estimateDecayAims * g.b.shortestAim.Seconds()
+	tau := decayAims * g.b.shortestAim.Seconds()
 	steps := []struct {
 		name  string
 		after time.Duration
--- a/stagger_test.go
+++ b/stagger_test.go
@@ -116,7 +116,7 @@
 		}
 		b.now, b.servedRate, b.servedAt = time.Hour+from+fall, rate, time.Hour+from+fall
 		all := b.coldRate(h, from+fall) * fall.Seconds() * h.sharers // at the end of the window, where it is the most
-		bound := all + max(1, min(all/2, coldCreditDeviations*math.Sqrt(all))) + staggerLoss
+		bound := all + max(1, min(all/2, coldCreditSigmas*math.Sqrt(all))) + staggerLoss
 		if n > bound {
 			wrong = fmt.Sprintf("%v sends from %v on, the bound is %.1f", n, from, bound)
 		}
--- a/standing.go
+++ b/standing.go
@@ -50,8 +50,8 @@
 func (b *Balancer) Standing(now Time) Standing {
 	b.now = now
 	s := Standing{Part: min(b.subsetSize, len(b.ring)), Reach: min(b.reach, len(b.ring)), Sharers: b.sharers, Admitted: b.admitted, Late: b.lateness(),
-		Answers: b.latenessEvidence.N, PressedAt: shedFromAims}
-	if s.Late < shedUntilAims || b.sharers <= shedAboveSharers {
+		Answers: b.relativeRTT.N, PressedAt: shedFromLateness}
+	if s.Late < shedUntilLateness || b.sharers <= shedAboveSharers {
 		s.Admitted = 1 // what stood is over: the next arrival finds so
 	}
 	place := map[*host]int{}
@@ -63,7 +63,7 @@
 			continue
 		}
 		v := HostStanding{ID: h.ID, Pending: h.pending, Estimate: time.Duration(b.believedRTT(h) * 1e9), Answers: h.relativeTimes.N, Out: max(0, h.ejectUntil-now)}
-		v.Unlike = evidence.Sure(h.relativeTimes.Apart(0, b.noise.Deviation(1, priorAnswers), 1), equalUpToErrors, differentFromErrors)
+		v.Unlike = evidence.Sure(h.relativeTimes.Apart(0, b.noise.Deviation(1, priorAnswers), 1), equalUpTo, differentFrom)
 		at := place[h]
 		switch {
 		case h.State != Ready:
--- a/state.go
+++ b/state.go
@@ -10,123 +10,124 @@
 	"frostshift/internal/evidence"
 )
 
-// The state a Balancer keeps and its plumbing: lines, pools, random numbers.
-// Nothing here decides anything; that is all in balancer.go.
+// This file contains the state of a Balancer and its helpers: queues, object pools, random numbers.
+// It contains no decision logic; that is in balancer.go.
 
-// Balancer decides for one gateway. It is not safe for concurrent use.
+// Balancer makes the decisions for one gateway. It is not safe for concurrent use.
 type Balancer struct {
 	set     Settings
-	rng     uint64
-	now     Time
-	actions []Action
-
-	hosts            []*host // in order of first listing, so that nothing depends on map order
-	byID             map[HostID]*host
-	banned           map[HostID]bool // taken out by hand, listed or not
-	reinstated       []*host         // called back by hand, and no answer since
-	reqs             map[RequestID]*request
-	queues           []list[request] // waiting requests, most worth first
-	queueOf          [][4]int
-	arrivals         []float64     // requests of late by line, decayed by each
-	admitted         float64       // share of requests admitted, by worth
-	latenessEvidence evidence.Mean // RTT in aims, weighed by worth
-	latenessAt       Time          // the last answer
-	meanWorth        mean          // worth of the requests answered
-	queued           int
-	stallTime        Time // how long the gateway itself has stood still in all
-	inFlight         int  // attempts out at the last sweep or sent since
-
-	shortestAim            Time   // shortest aim of any class
-	longestAim             Time   // longest
-	round                  uint64 // through the hosts, as cards are dealt
-	pickCount              uint64
-	peerLoadFactor         float64         // 1: the pick under way heeds what others have out; 0: it does not
-	noise                  evidence.Mean   // the same less their host's
-	relativeTimes          evidence.Mean   // logarithms of times over their class's mean, of all hosts
+	rng     uint64   // state of the random number generator
+	now     Time     // time of the event in progress
+	actions []Action // collected since the last Drain
+
+	hosts       []*host // in order of first listing, so that nothing depends on map order
+	byID        map[HostID]*host
+	banned      map[HostID]bool // taken out of service by an operator, listed or not
+	reinstated  []*host         // put back into service by an operator, no answer since
+	reqs        map[RequestID]*request
+	queues      []list[request] // waiting requests, highest worth first
+	queueOf     [][4]int        // index in queues by class and queueBits
+	arrivals    []float64       // recent requests by queue, decayed by each request
+	admitted    float64         // admitted share of requests, in order of worth
+	relativeRTT evidence.Mean   // RTT in aims, weighted by worth
+	latenessAt  Time            // time of the last answer in relativeRTT
+	meanWorth   mean            // worth of the answered requests
+	queued      int             // requests in all queues
+	stallTime   Time            // total time that the gateway itself was stalled
+	inFlight    int             // attempts in flight at the last sweep, plus those sent since
+
+	shortestAim            Time            // of all classes
+	longestAim             Time            // of all classes
+	round                  uint64          // number of the selection round through the hosts
+	pickCount              uint64          // calls of pick
+	peerLoadFactor         float64         // 1 if the pick in progress counts the attempts of peers, else 0
+	noise                  evidence.Mean   // logarithms of relative times less the mean of their host
+	relativeTimes          evidence.Mean   // logarithms of time / mean time of the class, of all hosts
 	sampleGap              mean            // seconds between samples of a host
-	classRTT               []mean          // RTT of good answers by class
-	meanRTT                mean            // RTT of good answers
-	kindTimes              []evidence.Mean // the same of a kind's warm hosts
-	nextWarmAt             Time            // when the next of the cold hosts is warm; 0: none is cold
+	classRTT               []mean          // RTT of good answers by class, in seconds
+	meanRTT                mean            // RTT of good answers, in seconds
+	kindTimes              []evidence.Mean // logarithms of relative times by kind, of warm hosts
+	nextWarmAt             Time            // when the next cold host is warm; 0: no host is cold
 	warmHosts              int             // warm hosts listed
-	servedRate             float64         // rate of good answers of a warm host to the fleet, a second, as of servedAt
+	servedRate             float64         // good answers per second of one warm host to the fleet, as of servedAt
 	servedAt               Time
-	servedFrom             Time    // when the first of them was sent
-	rateSpan               float64 // of served, seconds
-	quotas                 []bucket
-	sweepAt                Time
-	byPosition             []*host // ready hosts in the order of their places
-	nearScratch            []*host // scratch of layRing
-	ring                   []*host // ready hosts in the order of this instance's preference
-	backups                int     // hosts that are used only where no other can be
-	weighted               bool    // hosts have weights that differ from 1
-	nearSubset             []*host // those of the subset that stand in the own zone, where they are preferred
-	fleetInfo              Fleet   // who shares the hosts
-	subsetSize             int     // how many of them it draws from
-	reach                  int     // ... with what its own load asks for
-	ownRate                float64 // rate of its requests, a second, as of ownAt
+	servedFrom             Time     // send time of the first answer counted in servedRate
+	rateSpan               float64  // averaging time of servedRate and ownRate, in seconds
+	quotas                 []bucket // by tenant
+	sweepAt                Time     // when the next sweep is due; 0: none is scheduled
+	byPosition             []*host  // ready hosts in the order of their positions
+	nearScratch            []*host  // scratch of rebuildRing
+	ring                   []*host  // ready hosts in the order of preference of this instance
+	backups                int      // ready backup hosts
+	weighted               bool     // some host has a weight other than 1
+	nearSubset             []*host  // hosts of the subset in the own zone, if those are preferred
+	fleetInfo              Fleet    // instances that share the hosts
+	subsetSize             int      // hosts at the head of ring that form the subset
+	reach                  int      // hosts at the head of ring that requests may go to: subset or more
+	ownRate                float64  // requests per second to this instance, as of ownRateAt
 	ownRateAt, ownRateFrom Time
-	sharers                float64 // instances that draw from one host
-	fleetSize              float64 // instances that share the hosts listed
-	siblings               float64 // processes that are this instance; 0: one
-	readyScratch           []*host // scratch of pick
-	ejectedScratch         []*host // scratch of pick
-	freeRequests           []*request
-	freeAttempts           []*attempt
-
-	watching   bool
-	watchAt    Time
-	watchFails int
+	sharers                float64    // instances that use the same host
+	fleetSize              float64    // instances that share the listed hosts
+	siblings               float64    // processes of this gateway (hot restart); 0: one
+	readyScratch           []*host    // scratch of pick: ready hosts
+	ejectedScratch         []*host    // scratch of pick: ejected hosts
+	freeRequests           []*request // pool
+	freeAttempts           []*attempt // pool
+
+	watching   bool // the last watch delivered a list
+	watchAt    Time // when the next watch is due
+	watchFails int  // failed watches in a row
 	logLines   [logKinds]logLine
 }
 
-// host is what this instance knows of one host.
+// host is the state of one host as this instance knows it.
 type host struct {
 	Host
-	listedState   HostState // what the list says; State is what holds
-	unsampled     bool      // no sample yet
-	position      uint64    // in the ring
-	usableCold    bool      // it is of the part that may be used while cold
-	positioned    bool      // it is among the places
-	marked        bool      // scratch of layRing
-	rtt           float64   // peak EWMA in seconds, as of rttAt
+	listedState   HostState // state in the host list; State also reflects operators' orders
+	unsampled     bool      // no RTT sample yet
+	position      uint64    // on the ring
+	usableCold    bool      // this instance may use the host while it is cold
+	positioned    bool      // the host is in Balancer.byPosition
+	marked        bool      // scratch of without
+	rtt           float64   // peak EWMA of the RTT in seconds, as of rttAt
 	rttAt         Time
-	pending       int
-	streams       int           // answers whose bodies flow
-	inFlight      list[attempt] // in the order sent
+	pending       int           // attempts in flight whose body is not streaming
+	streams       int           // attempts whose request or answer body is streaming
+	inFlight      list[attempt] // the pending attempts in the order sent
 	answeredAt    Time          // last answer of any kind
-	lastRound     uint64        // the pass of the deck in which it was last sent something
-	relativeTimes evidence.Mean // logarithms of its times over what they usually are
-	penalized     bool          // a penalty stands in rtt and has not decayed
-	limit         float64       // attempts it may hold from all that share it
-	recentRTT     mean          // RTT of answers and time-outs, not decayed
-	limitCutAt    Time          // last cut of the limit
-
-	ejections         int  // ejections since the last good answer
-	down              bool // it took no connection
-	answersSinceError int  // answers since its last error
+	lastRound     uint64        // selection round in which the host was last used
+	relativeTimes evidence.Mean // logarithms of time / mean time of the class
+	penalized     bool          // rtt holds a penalty that has not decayed yet
+	limit         float64       // in-flight limit, in attempts of all sharers
+	recentRTT     mean          // RTT of answers and time-outs in seconds, not decayed
+	limitCutAt    Time          // last cut of limit
+
+	ejections         int  // since the last answer that ended an ejection
+	down              bool // the last connection attempt failed
+	answersSinceError int  // good answers
 	ejectUntil        Time
-	probing           bool // the one attempt of a host on trial is out
-	connectFailures   int  // connections that failed one after the other
-	retryAt           Time // when it may be tried again where all others are down as well
+	probing           bool // a probe of the host is in flight
+	connectFailures   int  // failed connections in a row
+	retryAt           Time // earliest connection attempt while all other hosts are down too
 
-	cold   bool // it started less than WarmAfter ago
-	coldAt Time
+	cold   bool    // the host started less than WarmAfter ago
+	coldAt Time    // its start
 	credit float64 // sends that the cold budget allows now, as of creditAt
-	// staggered says that credit began at this instance's place in the cycle of sends.
+	// staggered is set once credit has been initialized from cycleOffset.
 	staggered bool
 	sharers   float64 // instances that may send to it while cold
 	creditAt  Time
 
-	suspicion      float64 // by others' outcomes, until doubtUntil
+	suspicion      float64 // from 0 to 1, reported by peers, until suspicionUntil
 	suspicionUntil Time
-	ejectedByPeers bool    // it was ejected for what others said
-	peersProbe     bool    // ... and others try it
-	peerLoad       float64 // attempts that other instances have out there, until othersUntil
+	ejectedByPeers bool    // ejected because of reports by peers
+	peersProbe     bool    // ... and left to peers to probe
+	peerLoad       float64 // in-flight attempts reported by peers, until peerLoadUntil
 	peerLoadUntil  Time
 }
 
-// flow makes an attempt one whose body flows; stay takes that back, and leave ends either.
+// startStreaming moves an attempt whose body is streaming from the pending attempts of its host to the
+// streams. It does nothing if the attempt is there already.
 func (a *attempt) startStreaming() {
 	if !a.streaming {
 		a.streaming = true
@@ -136,6 +137,7 @@
 	}
 }
 
+// stopStreaming undoes startStreaming, at the end of the list of pending attempts.
 func (a *attempt) stopStreaming() {
 	a.streaming = false
 	a.host.inFlight.pushBack(&a.link)
@@ -143,6 +145,7 @@
 	a.host.streams--
 }
 
+// leaveHost removes an ended attempt from the counters of its host.
 func (a *attempt) leaveHost() {
 	if a.streaming {
 		a.host.streams--
@@ -152,7 +155,7 @@
 	}
 }
 
-// without drops those hosts from a list that are in another, in place.
+// without removes the hosts in drop from list, in place.
 func without(list, drop []*host) []*host {
 	for _, h := range drop {
 		h.marked = true
@@ -164,16 +167,16 @@
 	return list
 }
 
-// turn appends the hosts to dst, from this instance's place on.
+// appendRotated appends the hosts to dst, rotated to begin at the position of this instance.
 func (b *Balancer) appendRotated(dst, hosts []*host) []*host {
 	first := int(b.fleetInfo.Place * float64(len(hosts)))
 	return append(append(dst, hosts[first:]...), hosts[:first]...)
 }
 
-// remote says whether a host stands in another zone.
+// remote reports whether a host is in another zone than this instance.
 func (b *Balancer) remote(h *host) bool { return h.Zone != b.set.Zone }
 
-// first is the earliest attempt that may have run or is still out, or nil.
+// first returns the earliest attempt that may have run or has not ended, or nil.
 func (r *request) first() *attempt {
 	for _, a := range r.attempts {
 		if !a.ended || a.result.mayHaveRun() {
@@ -183,9 +186,11 @@
 	return nil
 }
 
+// mayHaveRun reports whether the host may have run the request of an attempt with this result.
 func (x Result) mayHaveRun() bool { return x != Full && x != ConnectFailed && x != NotSent }
 
-// byWeight draws a host by weights.
+// drawByWeight returns a random host, with probabilities in proportion to the weights. from must not be
+// empty.
 func (b *Balancer) drawByWeight(from []*host) *host {
 	sum := 0.0
 	for _, h := range from {
@@ -200,8 +205,8 @@
 	return from[len(from)-1]
 }
 
-// ban notes that a host is out by hand, or that it is called back and nothing that was learnt
-// of it holds.
+// setBanned records that an operator has taken a host out of service, or put it back, which resets the
+// statistics of the host.
 func (b *Balancer) setBanned(id HostID, out bool) {
 	h := b.byID[id]
 	if out && b.banned == nil {
@@ -225,7 +230,7 @@
 	}
 }
 
-// until is what was said with an end to its worth.
+// unlessExpired returns x, or 0 from end on.
 func (b *Balancer) unlessExpired(x float64, end Time) float64 {
 	if b.now >= end {
 		return 0
@@ -233,13 +238,14 @@
 	return x
 }
 
-// paid notes that a host is owed nothing.
+// dropReinstated removes a host from those that are owed a request after being put back into service.
 func (b *Balancer) dropReinstated(h *host) {
 	if len(b.reinstated) > 0 {
 		b.reinstated = slices.DeleteFunc(b.reinstated, func(o *host) bool { return o == h })
 	}
 }
 
+// weight returns the weight of the host; the default is 1.
 func (h *host) weight() float64 {
 	if h.Weight > 0 {
 		return h.Weight
@@ -247,57 +253,59 @@
 	return 1
 }
 
-// request is a client request with its attempts; it is kept until it has its
-// answer and all its attempts have ended.
+// request is a client request with its attempts. It is kept until it has its answer and all its
+// attempts have ended.
 type request struct {
 	Request
 	class         *Class
-	arrived       Time
+	arrived       Time // or when its body was sent
 	deadline      Time
-	queueDeadline Time // while it waits: too late to be answered within the aim
-	queue         int
-	inFlight      int // attempts in flight
-	done          bool
-	committed     bool // a stream has begun, it is that attempt's now
-	bodyPending   bool // its body comes still, on the attempt that is out
-	deadlineMoved bool // its deadline was, when its body had come
+	queueDeadline Time // refused if still queued then: too late for an answer within the aim
+	queue         int  // index in Balancer.queues
+	inFlight      int  // attempts that have not ended
+	done          bool // it has its answer or needs none
+	committed     bool // an answer stream has begun; no other attempt may answer
+	bodyPending   bool // its body is still arriving, for the attempt in flight
+	deadlineMoved bool // the deadline was moved when the body had been sent
 	queued        bool
-	link          node[request] // in its line
-	attempts      []*attempt
+	link          node[request] // in its queue
+	attempts      []*attempt    // in the order sent
 }
 
+// attempt is one attempt of a request at a host.
 type attempt struct {
 	req               *request
 	host              *host
-	sent              Time
-	hint              float64 // seconds after which the host wants to be asked again; 0: none
-	stallTime         Time    // as of the balancer then
+	sent              Time    // or when the request body was sent
+	hint              float64 // seconds after which the host wants to be retried; 0: no hint
+	stallTime         Time    // Balancer.stallTime when the attempt was sent
 	ended             bool
-	result            Result
-	probe             bool
-	streaming         bool          // not in the host's flight: its time is not the host's
-	responseStreaming bool          // its answer's body flows
-	link              node[attempt] // at its host
+	result            Result        // as of the head of the answer, or the end of the attempt
+	probe             bool          // sent while the host had failed
+	streaming         bool          // counted in host.streams: its duration says nothing about the host
+	responseStreaming bool          // the body of its answer is streaming
+	link              node[attempt] // in host.inFlight
 }
 
-// mean is a moving average with deviation; the first sample sets it.
+// mean is a moving average with the mean absolute deviation; the first sample sets it.
 type mean struct {
 	mean, dev float64
 	seen      bool
 	at        Time
 }
 
-// add gives a sample a weight of about one tenth.
+// add records a sample with the weight meanWeight.
 func (m *mean) add(x float64) { m.blend(x, meanWeight) }
 
-// addAt gives a sample more weight the longer ago the last one is, so that the
-// mean is about span old however seldom samples come.
+// addAt records a sample with a weight that grows with the time since the last one, so that the mean
+// reflects about the last span (in seconds) however rare samples are.
 func (m *mean) addAt(x float64, now Time, span float64) {
 	w := 1 - math.Exp(-(now-m.at).Seconds()/span)
 	m.at = now
 	m.blend(x, max(w, meanWeight))
 }
 
+// blend records a sample x with weight w; the first sample sets the mean, and half of it the deviation.
 func (m *mean) blend(x, w float64) {
 	if !m.seen {
 		m.mean, m.dev, m.seen = x, x/2, true
@@ -307,15 +315,17 @@
 	m.mean += w * (x - m.mean)
 }
 
-// list is a line that its items can leave from anywhere. The items hold their own
-// nodes, so that nothing is allocated.
+// list is a doubly linked list. The items contain their nodes, so that no operation allocates.
+// The zero value is an empty list.
 type list[T any] struct{ head, tail *node[T] }
 
+// node links an item into a list.
 type node[T any] struct {
 	item       *T
 	prev, next *node[T]
 }
 
+// pushBack adds a node at the end of the list.
 func (l *list[T]) pushBack(n *node[T]) {
 	if n.prev = l.tail; n.prev != nil {
 		n.prev.next = n
@@ -325,6 +335,7 @@
 	l.tail = n
 }
 
+// pushFront adds a node at the beginning of the list.
 func (l *list[T]) pushFront(n *node[T]) {
 	if n.next = l.head; n.next != nil {
 		n.next.prev = n
@@ -334,6 +345,7 @@
 	l.head = n
 }
 
+// remove removes a node from the list, which must contain it.
 func (l *list[T]) remove(n *node[T]) {
 	if n.prev != nil {
 		n.prev.next = n.next
@@ -348,13 +360,13 @@
 	n.prev, n.next = nil, nil
 }
 
+// bucket is a token bucket: tokens as of at, refilled at rate per second.
 type bucket struct {
 	tokens, rate float64
 	at           Time
 }
 
-// forget drops a removed host once nothing of ours is out there. One that started
-// lately is kept: on a list that flaps it would come back with new credit.
+// forget drops a removed host once no attempt of this instance is in flight there.
 func (b *Balancer) forget(h *host) {
 	if !b.forgettable(h) {
 		return
@@ -369,11 +381,13 @@
 	}
 }
 
+// forgettable reports whether a host can be dropped. A removed host that is still cold is kept: with a
+// flapping host list it would otherwise come back with new credit.
 func (b *Balancer) forgettable(h *host) bool {
 	return h.State == Removed && h.pending+h.streams == 0 && b.byID[h.ID] == h && !(h.cold && b.now-h.coldAt < b.set.WarmAfter)
 }
 
-// forgetAll drops all that can be dropped, in one pass.
+// forgetRemoved drops all hosts that can be dropped, in one pass.
 func (b *Balancer) forgetRemoved() {
 	b.hosts = slices.DeleteFunc(b.hosts, func(h *host) bool {
 		gone := b.forgettable(h)
@@ -385,8 +399,8 @@
 	})
 }
 
-// layPlaces keeps the ready hosts in the order of their places. Only those that are new
-// are sorted: a list of thousands changes by a few at a time.
+// updatePositions keeps the ready hosts sorted by position. Only new hosts are sorted and merged in: a
+// list of thousands changes by a few at a time.
 func (b *Balancer) updatePositions() {
 	b.byPosition = slices.DeleteFunc(b.byPosition, func(h *host) bool {
 		h.positioned = h.State == Ready && b.byID[h.ID] == h
@@ -403,7 +417,7 @@
 	slices.SortFunc(fresh, byPlace)
 	old := len(b.byPosition)
 	b.byPosition = append(b.byPosition, fresh...)
-	for i, j, k := old-1, len(fresh)-1, len(b.byPosition)-1; j >= 0; k-- { // from the end, in place
+	for i, j, k := old-1, len(fresh)-1, len(b.byPosition)-1; j >= 0; k-- { // merge from the end, in place
 		if i >= 0 && byPlace(b.byPosition[i], fresh[j]) > 0 {
 			b.byPosition[k] = b.byPosition[i]
 			i--
@@ -414,7 +428,8 @@
 	}
 }
 
-// take uses one request of a tenant's quota; false means the tenant is over it.
+// take uses one request of the quota of a tenant; it returns false if the tenant is over its quota. A
+// rate of 0 means no quota.
 func (t *bucket) take(now Time) bool {
 	if t.rate <= 0 {
 		return true
@@ -428,7 +443,8 @@
 	return true
 }
 
-// HostCounts is how many hosts are listed, and how many of them get nothing now.
+// HostCounts returns the number of listed hosts, and how many of them get no new requests now because
+// they drain, were taken out of service, or are ejected.
 func (b *Balancer) HostCounts(now Time) (listed, away int) {
 	b.now = now
 	for _, h := range b.hosts {
@@ -443,7 +459,7 @@
 	return listed, away
 }
 
-// release forgets an ended request once its last attempt has ended.
+// release returns a request that is done to the pool once its last attempt has ended.
 func (b *Balancer) release(r *request) {
 	if !r.done || r.inFlight > 0 {
 		return
@@ -453,7 +469,7 @@
 	b.freeRequests = append(b.freeRequests, r)
 }
 
-// attempt finds one that has not ended, of a request that is owed its answer.
+// openAttempt returns an attempt that has not ended, of a request that still needs an answer, or nil.
 func (b *Balancer) openAttempt(id RequestID, n int) *attempt {
 	if r := b.reqs[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) && !r.attempts[n].ended {
 		return r.attempts[n]
@@ -461,6 +477,7 @@
 	return nil
 }
 
+// newRequest returns a zeroed request, from the pool if possible.
 func (b *Balancer) newRequest() *request {
 	n := len(b.freeRequests)
 	if n == 0 {
@@ -472,6 +489,7 @@
 	return r
 }
 
+// newAttempt returns a zeroed attempt, from the pool if possible.
 func (b *Balancer) newAttempt() *attempt {
 	n := len(b.freeAttempts)
 	if n == 0 {
@@ -483,7 +501,7 @@
 	return a
 }
 
-// push adds a request to its line, at the front or at the back.
+// push adds a request to its queue, at the front or at the end.
 func (b *Balancer) push(r *request, front bool) {
 	r.queued, r.link.item = true, r
 	b.queued++
@@ -494,6 +512,7 @@
 	}
 }
 
+// dequeue removes a request from its queue, if it is in one.
 func (b *Balancer) dequeue(r *request) {
 	if r.queued {
 		b.queues[r.queue].remove(&r.link)
@@ -502,7 +521,7 @@
 	}
 }
 
-// What is logged; each kind is limited by itself.
+// Kinds of log lines; each has a rate limit of its own.
 const (
 	logEject = iota
 	logReturn
@@ -514,16 +533,17 @@
 	logKinds
 )
 
-// logEvery is the least time between two lines of a kind.
+// logEvery is the minimum time between two log lines of a kind.
 const logEvery = 10 * time.Second
 
+// logLine is the rate limit of one kind of log line.
 type logLine struct {
 	at         Time
 	logged     bool
-	suppressed int // lines held back since
+	suppressed int // lines suppressed since
 }
 
-// log tells those on call, a line of a kind every logEvery at most.
+// log adds a Log action, at most one of each kind per logEvery; the next one says how many were suppressed.
 func (b *Balancer) log(kind int, format string, args ...any) {
 	l := &b.logLines[kind]
 	if l.logged && b.now-l.at < logEvery {
@@ -538,8 +558,9 @@
 	b.addAction(Action{Kind: Log, Text: text})
 }
 
-// RankPosition is the place on a ring of a rank among so many: steps of the golden ratio, made
-// coprime to their number, put all as far apart as can be, and any run of ranks nearly.
+// RankPosition returns the ring position, from 0 to below 1, of the instance with the given rank out of
+// of instances. Steps of the golden ratio, rounded to a step coprime to their number, put all of them
+// as far apart as possible, and nearly so any run of consecutive ranks.
 func RankPosition(rank, of int) float64 {
 	gcd := func(x, y int) int {
 		for y != 0 {
@@ -554,38 +575,42 @@
 	return float64(rank*step%of) / float64(of)
 }
 
-// nextRand is splitmix64: small, seeded, and the same everywhere.
+// nextRand returns the next number of splitmix64: small, seeded, and the same on every platform.
 func (b *Balancer) nextRand() uint64 {
 	b.rng += 0x9e3779b97f4a7c15
 	return mix(b.rng)
 }
 
-// mix scatters the values of a number.
+// mix hashes a number.
 func mix(z uint64) uint64 {
 	z = (z ^ z>>30) * 0xbf58476d1ce4e5b9
 	z = (z ^ z>>27) * 0x94d049bb133111eb
 	return z ^ z>>31
 }
 
+// rand returns a random number from 0 to below n.
 func (b *Balancer) rand(n int) int { return int(b.nextRand() >> 33 % uint64(n)) }
 
+// float returns a random number from 0 to below 1.
 func (b *Balancer) float() float64 { return float64(b.nextRand()>>11) / (1 << 53) }
 
-// Drain appends the actions decided since the last call to dst. The balancer
-// keeps no reference to what it returns.
+// Drain appends the actions collected since the last call to dst and returns it. The balancer keeps no
+// reference to the result.
 func (b *Balancer) Drain(dst []Action) []Action {
 	dst = append(dst, b.actions...)
 	b.actions = b.actions[:0]
 	return dst
 }
 
+// addAction adds an action for the next Drain.
 func (b *Balancer) addAction(a Action) { b.actions = append(b.actions, a) }
 
+// setTimer adds a Wake action: the gateway calls Timer with the token at that time.
 func (b *Balancer) setTimer(at Time, token uint64) {
 	b.addAction(Action{Kind: Wake, At: at, Token: token})
 }
 
-// saidOut is how many hosts are ejected for what others said.
+// ejectedByPeersCount returns how many hosts are ejected because of reports by peers.
 func (b *Balancer) ejectedByPeersCount() (count int) {
 	for _, h := range b.hosts {
 		if h.ejectedByPeers {
