--- a/balancer.go
+++ b/balancer.go
@@ -1,17 +1,17 @@
 package frostshift
 
-// The decisions of the balancer but for hosts that have just started, which are in coldhost.go. The
-// types it speaks in are in api.go.
+// This file contains the decision logic of the balancer, except for hosts that have just started,
+// which are in coldhost.go. The types of its interface are in api.go.
 //
-// Reading order: the constants; New (what a Balancer keeps is in state.go); one
-// method per event, from Start to Timer; then what they call: place and pick (the
-// ordinary path), load, estimate and sample (the score), allows to atLimit (who is
-// ready), observe and adjust (what is learnt), settle to end (what follows an
-// attempt), enqueue to serve (waiting), listen (silence), and last discovery.
+// Reading order: the constants; New (the state of a Balancer is in state.go); one method per event,
+// from Start to Timer; then the methods that they call: sendOrQueue and pick (the normal path),
+// load, decayedRTT and recordRTT (the score of a host), allows to atLimit (which hosts are ready),
+// recordResult and adjustLimit (learning), settle to end (what follows an attempt), enqueue to
+// serveQueue (the queues), ejectSilent (silent hosts), and finally discovery.
 //
-// The ordinary path is failure-aware peak EWMA with two choices: of two random
-// ready hosts the one with the lower estimate x (own pending + 1) gets the
-// request. Departures from it decide who is ready, and each says when it acts.
+// The normal path is failure-aware peak EWMA with two choices: of two random ready hosts the one
+// with the lower RTT estimate x (own pending attempts + 1) gets the request. The deviations from
+// it decide which hosts are ready; the comment of each says when it applies.
 
 import (
 	"cmp"
@@ -20,159 +20,168 @@
 	"slices"
 )
 
-const ( // each relative to settings or to what is measured
-	decayAims   = 8        // the estimate's decay, in shortest aims: it outlasts a gap between samples
-	decayGaps   = 8        // ... and at least so many gaps between own samples of a host
-	likeUpTo    = 1        // standard errors up to which a host is held to be like the others
-	sureFrom    = 2        // ... and from which on its estimate stands whole
-	heldMost    = 50       // answers that are held of a host at most
-	seedShare   = 0.25     // RTT of an unknown host, in shortest aims: it must not look free
-	penaltyAims = 1        // base penalty of an error or refusal, in shortest aims
-	penaltyRTTs = 2        // ... and at least so many mean RTTs of good answers
-	backoffAims = 2        // first ejection, in shortest aims
-	errorGap    = 30       // answers between two errors above which they are no cause to eject
-	trialAims   = 8        // wait for a trial that may be sent again, in shortest aims
-	yieldsAt    = 2        // loads of the second host drawn at which the one by weights gives way
-	hintAims    = 64       // longest hint of when to come back that is heeded, in shortest aims
-	backoffMax  = 5        // doublings of an ejection at most
-	retryAims   = 1.0 / 8  // first wait for a trial where all hosts take no connection, in shortest aims
-	retryMost   = 16       // ... and the longest: a trial there sends nothing
-	coldChance  = 3.0      // deviations of what the fleet sends by chance that a cold budget leaves
-	coldLapse   = 4.0      // deviations of what the fleet sends that unused credit may add to it
-	rateFalls   = 4        // span of the rate of answers, in Falls
-	rateLeast   = 1.0 / 8  // ... of which the first answers stand for this part at least
-	quotaBurst  = 1.0      // seconds of its quota a tenant may save up
-	sweepShare  = 1.0 / 16 // time between looks at waiting requests and silent hosts, in shortest aims
-	limitAims   = 0.375    // mean RTT that the in-flight limit of a host steers to, in shortest aims
-	recentAims  = 0.5      // span of a host's recent mean RTT, in shortest aims: faster than hosts tip
-	limitLeast  = 2        // ... and is never kept from holding: one runs while the next arrives
-	growth      = 0.3      // attempts that the fleet adds at a host in a round while requests wait
-	limitStart  = 4        // attempts a new host may hold from the whole fleet
-	waitShare   = 0.2      // of its aim that a request waits for a host at most
-	patience    = 3        // deviations above the mean RTT after which an unheard host counts as silent
-	repeatWorth = 0.5      // worth of a client's repeat while others wait, as a share: it may come late
-	lineWeight  = 0.02     // weight of an arrival in the shares of the lines: about the last fifty count
-	meanWeight  = 0.1      // weight of a sample in a mean: about the last ten count
-	pressAims   = 0.38     // mean RTT, in aims, above which requests are shed: most are still in time
-	calmAims    = 0.25     // ... at which they are no more: what was late is over
-	easyAims    = 0.06     // mean RTT, in aims, that is held without evidence
-	easyAnswers = 2        // answers that are worth as much as that: one costly answer is no crowd
-	pressLast   = 5        // answers that are held at most: hosts tip within seconds
-	mostSteps   = 4        // steps of an answer at most: where few come, each stands for more time
-	shedStep    = 0.2      // share of what is admitted that an answer at twice that sheds
-	admitStep   = 0.1      // share of all that an answer in no time would admit again
-	shedSharers = 3        // instances at a host above which its in-flight limit leaves each less than one
-	admitLeast  = 0.02     // share always admitted: answers must go on telling
-	subsetMeet  = 4        // instances that draw from a host: their connections and handshakes load it
-	subsetLeast = 4        // hosts in a subset at least: a choice of two while some are out
-	reachShare  = 2.5      // hosts for each request that is out when nothing is crowded
-	drawLeast   = 32       // hosts in a subset from which on they are drawn and not walked
-	drawTries   = 12       // draws before the walk: with half of the hosts out they do in 99.7%
-	stoodLeast  = 8        // part of an attempt's time that counts however long the gateway stood still
-	streamPart  = 0.125    // what a flowing body holds of a host, in attempts: it waits for its client mostly
-	doubtLoad   = 3        // times more that a host which others doubt whole counts as slower
-	saidAims    = 2        // others' refusals do not count so long after an own answer, in shortest aims
-	blindIn     = 8        // requests of which one does not heed what others have out at hosts
-	answerSteps = 2        // steps ahead of its deadline that a request is answered at the latest
-	newsWithin  = 600e9    // ns that a start may lie back when a change of the list tells it first
-	startAhead  = 60e9     // ns that a start may lie ahead, by a clock that is not this one
-	askAgain    = 0.8e9    // ns before a lost host list is asked for, as a mean; twice that from then on
+// Most constants are relative to settings or measured values. Those named ...Aims are multiples of
+// the shortest aim of all classes.
+const (
+	decayAims       = 8    // time constant of the RTT estimates: outlasts a gap between samples
+	decayGaps       = 8    // its lower bound, in mean gaps between own samples of a host
+	equalUpTo       = 1    // standard errors up to which a host is considered equal to the others
+	differentFrom   = 2    // standard errors from which on its RTT estimate is used in full
+	maxSampleWeight = 50   // maximum weight of the samples kept of a host, in answers
+	unknownAims     = 0.25 // RTT assumed for an unknown host: at 0 it would look idle
+	penaltyAims     = 1    // minimum RTT recorded for an error or refusal
+	penaltyRTTs     = 2    // second minimum for it, in mean RTTs of good answers
+	meanWeight      = 0.1  // weight of a sample in a moving average: about the last ten count
+
+	firstEjectionAims  = 2        // duration of the first ejection
+	maxDoublings       = 5        // maximum number of doublings of the duration of an ejection
+	minErrorGap        = 30       // good answers between two errors from which on none ejects the host
+	safeProbeAims      = 8        // time after an ejection in which only retryable requests probe
+	firstReconnectAims = 1.0 / 8  // first delay of a probe while all hosts refuse connections
+	maxReconnectAims   = 16       // maximum of that delay: such a probe sends no request
+	maxRetryHintAims   = 64       // maximum Retry-After hint of a host that is accepted
+	sweepAims          = 1.0 / 16 // interval of the checks of queues and silent hosts
+	silenceSigmas      = 3        // deviations above the mean RTT after which a host counts as silent
+	ownAnswerAims      = 2        // time after an own answer in which refusals met by peers are ignored
+
+	coldBudgetSigmas  = 3.0     // standard deviations that sends stay below the budget of a cold host
+	coldCreditSigmas  = 4.0     // standard deviations of the fleet's sends that unused credit may add
+	rateWindows       = 4       // averaging time of rates, in overload windows (Settings.Fall)
+	minRateFraction   = 1.0 / 8 // minimum fraction of it that a short history counts as
+	quotaBurstSeconds = 1.0     // seconds of its quota that a tenant may accumulate
+	maxNewStartAge    = 600e9   // maximum age of a start first reported by a list change, in ns
+	maxStartAhead     = 60e9    // maximum time of a start in the future, in ns: clocks differ
+	listRetryDelay    = 0.8e9   // maximum mean delay of the first retry of a lost list, in ns; then x2
+
+	limitRTTAims     = 0.375 // target mean RTT of the in-flight limit of a host
+	recentRTTAims    = 0.5   // averaging time of its recent RTT: shorter than an overload takes
+	minHostLimit     = 2     // minimum in-flight limit: one attempt runs while the next arrives
+	limitGrowth      = 0.3   // attempts added by the fleet per round trip while requests wait
+	initialHostLimit = 4     // in-flight limit of a new host for the whole fleet, in attempts
+	stallTimeDivisor = 8     // 1/8 of an attempt's time counts even if the gateway was stalled
+	streamLoad       = 0.125 // load of a streaming body, in attempts: it mostly waits for its client
+	suspicionLoad    = 3     // multiple of its RTT added to a host at full suspicion (1) by peers
+
+	maxQueueShare     = 0.2  // maximum time that a request waits for a host, as a share of its aim
+	clientRetryWorth  = 0.5  // factor on the worth of a client retry: it may come too late
+	arrivalWeight     = 0.02 // weight of an arrival in the shares of the queues: about 50 count
+	shedFromLateness  = 0.38 // mean RTT in aims above which requests are shed: most are in time
+	shedUntilLateness = 0.25 // mean RTT in aims below which shedding stops: the delay is over
+	priorLateness     = 0.06 // mean RTT in aims that is assumed without evidence
+	priorAnswers      = 2    // weight of that in answers, so that one slow one is no overload
+	maxLateWeight     = 5    // maximum weight of the answers kept: hosts overload within seconds
+	maxAdmitSteps     = 4    // maximum steps of one answer: a rare one stands for more time
+	shedStep          = 0.2  // share of the admitted that one answer sheds at 2x shedFromLateness
+	admitStep         = 0.1  // share of all that one answer would admit again at a mean RTT of 0
+	shedAboveSharers  = 3    // instances per host above which the in-flight limit leaves each < 1
+	minAdmitted       = 0.02 // minimum admitted share: answers must show when the overload ends
+	marginSteps       = 2    // minimum time from an answer to the deadline, in Settings.Step
+
+	subsetSharers       = 4   // target instances per host: connections and handshakes load it
+	minSubset           = 4   // minimum hosts in a subset: a choice of two while some are ejected
+	hostsPerInFlight    = 2.5 // hosts to use per request in flight when none is overloaded
+	minDrawSubset       = 32  // subset size from which on hosts are drawn, not examined in turn
+	maxDraws            = 12  // maximum draws; with half of the hosts ejected 99.7% succeed
+	weightedLoadRatio   = 2   // by weights: the first drawn is used up to this x the second's load
+	ignorePeerLoadEvery = 8   // one of so many requests ignores the in-flight attempts of peers
 )
 
 const (
-	tokenSweep = iota + 1 // look at queue and hosts
-	tokenWatch            // ask discovery
-	tokenAnswer
+	tokenSweep  = iota + 1 // check the queues and silent hosts
+	tokenWatch             // send a watch to discovery
+	tokenAnswer            // give a request its final answer before its deadline
 
-	tokenShift = 56 // a token is its kind above the request ID
+	tokenShift = 56 // bits below the kind in a token; they hold the request ID
 )
 
-// New returns a Balancer for the settings, or an error if they cannot be served.
+// New returns a Balancer for the settings, or an error if the settings are not valid.
 func New(set Settings, seed uint64) (*Balancer, error) {
 	if err := check(&set); err != nil {
 		return nil, err
 	}
 	b := &Balancer{set: set, rng: seed, byID: map[HostID]*host{}, reqs: map[RequestID]*request{}}
-	b.aim = set.Classes[0].Aim
+	b.shortestAim = set.Classes[0].Aim
 	for _, c := range set.Classes {
-		b.aim, b.longAim = min(b.aim, c.Aim), max(b.longAim, c.Aim)
+		b.shortestAim, b.longestAim = min(b.shortestAim, c.Aim), max(b.longestAim, c.Aim)
 	}
-	b.pass, b.admit, b.span, b.sharers = 1, 1, rateFalls*set.OverloadWindow.Seconds(), float64(set.Instances)
-	b.shared = Fleet{TypedPlace(set.Rank, set.Instances), set.Instances, set.Instances}
+	b.round, b.admitted, b.rateSpan, b.sharers = 1, 1, rateWindows*set.OverloadWindow.Seconds(), float64(set.Instances)
+	b.fleetInfo = Fleet{RankPosition(set.Rank, set.Instances), set.Instances, set.Instances}
 	for _, t := range set.Tenants {
 		r := t.Quota / float64(set.Instances)
-		b.quota = append(b.quota, bucket{tokens: r * quotaBurst, rate: r})
+		b.quotas = append(b.quotas, bucket{tokens: r * quotaBurstSeconds, rate: r})
 	}
-	b.lat = make([]mean, len(set.Classes))
-	b.layBands()
+	b.classRTT = make([]mean, len(set.Classes))
+	b.buildQueues()
 	return b, nil
 }
 
-// Fleet is news of who shares the hosts. Each figure is put to its safe use: the fewest there may
-// be size the part that this instance draws from, so that no host is left to nobody; the most
-// there may be divide what cold hosts and tenants may get, so that all together hold it.
+// Fleet reports how many instances share the hosts. Both bounds are used on the safe side: the minimum
+// number of instances sets the size of the subset of this instance, so that every host is used by one;
+// the maximum divides the budgets of cold hosts and the quotas of tenants, so that all instances
+// together stay within them. Values that are not valid are ignored.
 func (b *Balancer) Fleet(now Time, k Fleet) {
-	if b.now = now; k.Min < 1 || k.Max < k.Min || !(k.Position >= 0 && k.Position < 1) || k == b.shared {
+	if b.now = now; k.Min < 1 || k.Max < k.Min || !(k.Position >= 0 && k.Position < 1) || k == b.fleetInfo {
 		return
 	}
-	b.shared = k
-	for i := range b.quota {
-		b.quota[i].rate = b.set.Tenants[i].Quota / float64(k.Max)
+	b.fleetInfo = k
+	for i := range b.quotas {
+		b.quotas[i].rate = b.set.Tenants[i].Quota / float64(k.Max)
 	}
-	b.layRing()
-	b.pump()
+	b.rebuildRing()
+	b.serveQueues()
 }
 
-// layBands orders the waiting lines: each class has one within quota and one beyond it, and the
-// same again for repeats. Worth most is served first; of equal worth, the tighter aim.
-func (b *Balancer) layBands() {
-	type line struct {
-		class, part int
+// buildQueues orders the queues: each class has one for requests within quota and one for those beyond
+// it, and the same two again for client retries. The queue with the highest worth is served first; of
+// equal worth, the one with the shorter aim.
+func (b *Balancer) buildQueues() {
+	type waitingQueue struct {
+		class, bits int
 		worth       float64
 	}
-	var lines []line
+	var queues []waitingQueue
 	for i, c := range b.set.Classes {
-		for part := range 4 {
+		for bits := range 4 {
 			worth := c.Worth
-			if part&overQuota != 0 {
+			if bits&overQuota != 0 {
 				worth *= b.set.OverQuotaWorth
 			}
-			if part&repeated != 0 {
-				worth *= repeatWorth
+			if bits&clientRetry != 0 {
+				worth *= clientRetryWorth
 			}
-			lines = append(lines, line{i, part, worth})
+			queues = append(queues, waitingQueue{i, bits, worth})
 		}
 	}
-	slices.SortStableFunc(lines, func(x, y line) int {
+	slices.SortStableFunc(queues, func(x, y waitingQueue) int {
 		aimX, aimY := b.set.Classes[x.class].Aim, b.set.Classes[y.class].Aim
 		return cmp.Or(cmp.Compare(y.worth, x.worth), cmp.Compare(aimX, aimY))
 	})
-	b.band = make([][4]int, len(b.set.Classes))
-	b.bands = make([]list[request], len(lines))
-	b.arrived = make([]float64, len(lines))
-	for k, l := range lines {
-		b.band[l.class][l.part] = k
+	b.queueOf = make([][4]int, len(b.set.Classes))
+	b.queues = make([]list[request], len(queues))
+	b.arrivals = make([]float64, len(queues))
+	for k, q := range queues {
+		b.queueOf[q.class][q.bits] = k
 	}
 }
 
-// Start is the first event: the gateway has come up. Where the list must be asked for, the
-// watch begins here, spread by place so that a fleet that starts together asks in turn.
+// Start is the first event: the gateway has started. If the host list must be polled, the watch begins
+// here, after a delay by ring position so that instances that start together do not poll at once.
 func (b *Balancer) Start(now Time) {
 	b.now = now
 	if b.set.Ask {
-		b.watchIn(Time(float64(b.set.AskWithin) / 4 * b.shared.Position))
+		b.watchIn(Time(float64(b.set.AskWithin) / 4 * b.fleetInfo.Position))
 	}
 }
 
-// Hosts is news of the host list.
+// Hosts reports a host list, changes to it, or the failure to get it.
 func (b *Balancer) Hosts(now Time, kind ListKind, list []Host) {
 	b.now = now
 	if kind == ListFailed {
-		b.lostList()
+		b.hostListLost()
 		return
 	}
 	if kind != ListSaved {
-		b.foundList()
+		b.hostListRegained()
 	}
 	if kind != ListChanges {
 		for _, h := range b.hosts {
@@ -180,191 +189,199 @@
 		}
 	}
 	for _, e := range list {
-		b.learn(e, kind)
-	}
-	b.forgetAll()
-	b.layRing()
-	b.pump()
-}
-
-// layRing lays the hosts in a ring of scattered order that begins at this instance's place;
-// its subset is the first of them that are of use. A host more or less moves a subset by one
-// host at most. It guards hosts against a connection from every instance and gives an
-// instance enough samples of each. It acts where more than subsetMeet instances share a host.
-// Half a subset is of the own zone, as crossing costs, the other half anywhere: a zone may
-// have too much traffic.
-func (b *Balancer) layRing() {
-	defer b.layNearby()
-	b.layPlaces()
-	b.warm, b.backups, b.weighted, b.warmAt = 0, 0, false, 0
-	near := b.near[:0]
-	zone := map[int]float64{} // hosts in each
-	for _, h := range b.places {
-		zone[h.Zone]++
+		b.updateHost(e, kind)
+	}
+	b.forgetRemoved()
+	b.rebuildRing()
+	b.serveQueues()
+}
+
+// rebuildRing arranges the hosts in a ring of pseudo-random order that begins at the position of this
+// instance; the subset is the first of them that are usable. One host more or less changes a subset
+// by at most one host. Subsets save hosts a connection from every instance and give an instance
+// enough samples of each host. They matter where more than subsetSharers instances would share a
+// host. Half of a subset is from the own zone, because crossing zones costs; the other half is from
+// any zone, because one zone may have too much traffic.
+func (b *Balancer) rebuildRing() {
+	defer b.rebuildNearSubset()
+	b.updatePositions()
+	b.warmHosts, b.backups, b.weighted, b.nextWarmAt = 0, 0, false, 0
+	nearHosts := b.nearScratch[:0]
+	hostsInZone := map[int]float64{} // number of hosts per zone
+	for _, h := range b.byPosition {
+		hostsInZone[h.Zone]++
 		if warmAt := h.coldAt + b.set.WarmAfter; !h.cold || b.now >= warmAt {
-			b.warm++
-		} else if b.warmAt == 0 || warmAt < b.warmAt {
-			b.warmAt = warmAt
+			b.warmHosts++
+		} else if b.nextWarmAt == 0 || warmAt < b.nextWarmAt {
+			b.nextWarmAt = warmAt
 		}
 		if h.Backup {
 			b.backups++
 		}
 		b.weighted = b.weighted || h.weight() != 1
 	}
-	b.fleet = float64(b.shared.Max)
-	if len(b.places) > 0 && b.places[0].Sharers > 0 {
-		b.layPart()
+	b.fleetSize = float64(b.fleetInfo.Max)
+	if len(b.byPosition) > 0 && b.byPosition[0].Sharers > 0 {
+		b.useWholeList()
 		return
 	}
-	width := func(of int) int { return max(subsetLeast, (b.warm*subsetMeet+of-1)/of) }
-	b.subset = width(b.shared.Min)
-	for _, h := range b.places {
+	subsetSizeOf := func(of int) int { return max(minSubset, (b.warmHosts*subsetSharers+of-1)/of) }
+	b.subsetSize = subsetSizeOf(b.fleetInfo.Min)
+	for _, h := range b.byPosition {
 		if b.set.Zones > 1 && !b.remote(h) {
-			near = append(near, h)
+			nearHosts = append(nearHosts, h)
 		}
 	}
-	b.near = near
-	b.ring = b.turn(b.ring[:0], near)
-	b.ring = b.ring[:min(len(near), b.subset/2)]
-	first, all := len(b.ring), len(b.places)
-	b.ring = b.turn(b.ring, b.places)
+	b.nearScratch = nearHosts
+	b.ring = b.appendRotated(b.ring[:0], nearHosts)
+	b.ring = b.ring[:min(len(nearHosts), b.subsetSize/2)]
+	first, total := len(b.ring), len(b.byPosition)
+	b.ring = b.appendRotated(b.ring, b.byPosition)
 	b.ring = b.ring[:first+len(without(b.ring[first:], b.ring[:first]))]
-	b.sharers = min(1, float64(b.subset)/float64(max(b.warm, 1))) * b.fleet
-	// What instances of its own zone and all instances walk past is what shares a cold host. Where
-	// views differ cold hosts are used within the part by Most alone, and by one more for places
-	// that do not meet: so the parts of all stay within one (docs/design/gossip.md).
-	narrow, doubt := width(b.shared.Max), float64(min(1, b.shared.Max-b.shared.Min))
-	half, nearest := float64(narrow/2), min(first, narrow/2)
-	anywhere := min(1, float64(narrow)/float64(max(all, 1)))
+	b.sharers = min(1, float64(b.subsetSize)/float64(max(b.warmHosts, 1))) * b.fleetSize
+	// The sharers of a cold host are the instances that reach it in their own zone or in any zone.
+	// If Least and Most differ, cold hosts are used only in the subset computed from Most, and one
+	// more sharer is assumed because the positions of instances may disagree: so the shares of
+	// all instances sum up to at most one (docs/design/gossip.md).
+	minSize, slack := subsetSizeOf(b.fleetInfo.Max), float64(min(1, b.fleetInfo.Max-b.fleetInfo.Min))
+	half, nearest := float64(minSize/2), min(first, minSize/2)
+	anywhere := min(1, float64(minSize)/float64(max(total, 1)))
 	for i, h := range b.ring {
-		h.mine = i < nearest || i >= first && i-first < narrow-nearest
-		h.sharers = min(b.fleet, math.Ceil(b.fleet*anywhere+doubt))
+		h.usableCold = i < nearest || i >= first && i-first < minSize-nearest
+		h.sharers = min(b.fleetSize, math.Ceil(b.fleetSize*anywhere+slack))
 		if b.set.Zones > 1 {
-			inZone := b.fleet / float64(b.set.Zones) * min(1, half/zone[h.Zone])
-			h.sharers = min(b.fleet, math.Ceil(h.sharers+inZone))
+			inZone := b.fleetSize / float64(b.set.Zones) * min(1, half/hostsInZone[h.Zone])
+			h.sharers = min(b.fleetSize, math.Ceil(h.sharers+inZone))
 		}
-		b.coldHold(h)
+		b.coldBlocked(h)
 	}
 }
 
-// layPart takes all hosts where the list is this instance's part of a longer one.
-func (b *Balancer) layPart() {
-	b.ring, b.subset, b.sharers = append(b.ring[:0], b.places...), len(b.places), 0
+// useWholeList uses all hosts: discovery has already selected the subset of this instance (Host.Sharers).
+func (b *Balancer) useWholeList() {
+	b.ring, b.subsetSize, b.sharers = append(b.ring[:0], b.byPosition...), len(b.byPosition), 0
 	for _, h := range b.ring {
-		h.sharers, h.mine = float64(h.Sharers), true
-		b.coldHold(h)
+		h.sharers, h.usableCold = float64(h.Sharers), true
+		b.coldBlocked(h)
 		b.sharers += h.sharers / float64(len(b.ring))
 	}
-	b.fleet = b.sharers
+	b.fleetSize = b.sharers
 }
 
-// layNearby notes the near hosts of the subset, which is the least that is drawn from.
-func (b *Balancer) layNearby() {
-	b.reach, b.nearby = max(b.reach, b.subset), b.nearby[:0]
-	for _, h := range b.ring[:min(b.subset, len(b.ring))] {
+// rebuildNearSubset collects the hosts of the subset that are in the own zone, if those are preferred,
+// and raises the number of hosts drawn from to at least the subset.
+func (b *Balancer) rebuildNearSubset() {
+	b.reach, b.nearSubset = max(b.reach, b.subsetSize), b.nearSubset[:0]
+	for _, h := range b.ring[:min(b.subsetSize, len(b.ring))] {
 		if b.set.PreferNear && !b.remote(h) {
-			b.nearby = append(b.nearby, h)
+			b.nearSubset = append(b.nearSubset, h)
 		}
 	}
 }
 
-func (b *Balancer) learn(e Host, kind ListKind) {
-	h := b.byID[e.ID]
+func (b *Balancer) updateHost(entry Host, kind ListKind) {
+	h := b.byID[entry.ID]
 	if h == nil {
-		if e.State == Removed {
+		if entry.State == Removed {
 			return
 		}
-		h = &host{place: mix(uint64(e.ID)), heard: b.now, limit: limitStart,
-			fresh: true, good: errorGap, rttAt: b.now}
-		b.byID[e.ID] = h
+		h = &host{position: mix(uint64(entry.ID)), answeredAt: b.now, limit: initialHostLimit,
+			unsampled: true, answersSinceError: minErrorGap, rttAt: b.now}
+		b.byID[entry.ID] = h
 		b.hosts = append(b.hosts, h)
 	}
 	started := h.Started
-	h.Host, h.listed = e, e.State
-	b.heed(h)
-	for len(b.kinds) <= e.Kind {
-		b.kinds = append(b.kinds, evidence.Mean{})
+	h.Host, h.listedState = entry, entry.State
+	b.applyState(h)
+	for len(b.kindTimes) <= entry.Kind {
+		b.kindTimes = append(b.kindTimes, evidence.Mean{})
 	}
-	if e.Started > 0 && e.Started != started {
-		h.doubt = 0 // of another start
-		b.chill(h, max(b.startOf(&e, kind), h.coldAt))
+	if entry.Started > 0 && entry.Started != started {
+		h.suspicion = 0 // it was about an earlier start
+		b.markCold(h, max(b.startTime(&entry, kind), h.coldAt))
 	}
 }
 
-// heed makes a host what its list and the operators allow together: one that was taken out by
-// hand finishes its work and gets nothing new, whatever the list says.
-func (b *Balancer) heed(h *host) {
-	if h.State = h.listed; b.banned[h.ID] && h.State == Ready {
+// applyState sets the state of a host to what the host list and the operators both allow: a host that
+// an operator has taken out finishes its work and gets no new requests, whatever the list says.
+func (b *Balancer) applyState(h *host) {
+	if h.State = h.listedState; b.banned[h.ID] && h.State == Ready {
 		h.State = Draining
 	}
 }
 
-// Ban takes a host out by hand, or has it used again: the list and the operators must both
-// allow it. One that comes back was worked on: nothing that was learnt of it holds, it is cold
-// as of now, and it is owed work as soon as its budget has any.
+// Ban takes a host out of service by an operator's order, or puts it back into service if out is false.
+// The host list and the operators must both allow a host. A host that is put back may have been
+// changed: its statistics are discarded, it is cold from now on, and it gets the next request that
+// its cold budget allows.
 func (b *Balancer) Ban(now Time, id HostID, out bool) {
 	b.now = now
 	if h := b.byID[id]; b.banned[id] != out {
-		if b.ban(id, out); h != nil && !out {
-			b.chill(h, now)
+		if b.setBanned(id, out); h != nil && !out {
+			b.markCold(h, now)
 		}
 		if h != nil && h.State != Removed {
-			b.heed(h)
-			b.layRing()
+			b.applyState(h)
+			b.rebuildRing()
 		}
-		b.pump()
+		b.serveQueues()
 	}
 }
 
-// HostHealth is news of what other instances met at a host. It never takes the place of own outcomes: a
-// doubt makes the host look slower and spares it requests that must not run twice, and refusals that
-// several met eject it as one of its own would, until a trial of its own, or while others try it.
-// That acts where it has had no answer of late, and for half of the hosts at most.
+// HostHealth reports what other instances observed at a host. It never replaces own outcomes: suspicion
+// makes the host count as slower and, at 1, keeps unsafe requests away; connection refusals that several
+// peers met eject it as an own one would, until an own probe succeeds, or for as long as peers probe it.
+// The ejection applies only if the host has not answered this instance recently, and to at most half of
+// the hosts.
 func (b *Balancer) HostHealth(now Time, k HostHealth) {
 	b.now = now
 	h := b.byID[k.Host]
 	if h == nil {
 		return
 	}
-	h.doubt, h.doubtUntil = min(max(k.Suspicion, 0), 1), k.Until
-	if h.waits && !(k.Down && k.Wait) { // others were answered: all may try, not all at once
-		h.waits, h.ejectUntil = false, min(h.ejectUntil, now+Time(saidAims*float64(b.aim)*b.float()))
+	h.suspicion, h.suspicionUntil = min(max(k.Suspicion, 0), 1), k.Until
+	if h.peersProbe && !(k.Down && k.Wait) { // peers got answers: all may probe, but not all at once
+		h.peersProbe, h.ejectUntil = false, min(h.ejectUntil,
+			now+Time(ownAnswerAims*float64(b.shortestAim)*b.float()))
 	}
 	switch {
-	case !k.Down || now >= k.Until || now-h.heard < saidAims*b.aim:
+	case !k.Down || now >= k.Until || now-h.answeredAt < ownAnswerAims*b.shortestAim:
 		return
-	case h.fails == 0 && 2*(b.saidOut()+1) > len(b.hosts):
+	case h.ejections == 0 && 2*(b.ejectedByPeersCount()+1) > len(b.hosts):
 		return
-	case h.fails == 0:
+	case h.ejections == 0:
 		b.eject(h, "others are refused")
-		h.down, h.said = true, true
+		h.down, h.ejectedByPeers = true, true
 	}
 	if k.Wait {
-		h.ejectUntil, h.waits = max(h.ejectUntil, k.Until), true
+		h.ejectUntil, h.peersProbe = max(h.ejectUntil, k.Until), true
 	}
 }
 
-// Crowded is news of what others have out at a host. It counts as own pending does where two hosts are
-// compared, but for one request in blindIn: whatever is said, each host keeps that part of its own.
-func (b *Balancer) Crowded(now Time, k PeerLoad) {
+// PeerLoad reports the in-flight attempts of peers at a host. They count like own pending attempts when
+// two hosts are compared, except for one request in ignorePeerLoadEvery: so every host keeps that share
+// of its own requests, whatever is reported.
+func (b *Balancer) PeerLoad(now Time, k PeerLoad) {
 	if h := b.byID[k.Host]; h != nil {
-		h.others, h.othersUntil = k.InFlight, k.Until
+		h.peerLoad, h.peerLoadUntil = k.InFlight, k.Until
 	}
 }
 
-// owed is a host that was called back and has answered nothing yet, if the request may go
-// there now and nothing else is out there. An unsafe one is not risked on it.
-func (b *Balancer) owed(r *request) *host {
-	for _, h := range b.owing {
+// reinstatedHost returns a host that an operator has put back into service and that has not answered
+// since, if the request may go there now and no attempt is in flight at it; otherwise nil. Unsafe
+// requests are not risked on it.
+func (b *Balancer) reinstatedHost(r *request) *host {
+	for _, h := range b.reinstated {
 		if r.class.Effect != Unsafe && h.State == Ready && h.pending == 0 && b.allows(r, h) &&
-			!b.ejected(r, h) && !b.coldHold(h) {
+			!b.ejected(r, h) && !b.coldBlocked(h) {
 			return h
 		}
 	}
 	return nil
 }
 
-// Request is a client's request, owed one final answer from here on.
+// Request reports a new client request; it gets exactly one final answer. A request with an ID in use
+// or an unknown class is ignored.
 func (b *Balancer) Request(now Time, q Request) {
 	b.now = now
 	if b.reqs[q.ID] != nil || q.Class < 0 || q.Class >= len(b.set.Classes) {
@@ -373,243 +390,249 @@
 	r := b.newRequest()
 	r.Request, r.class, r.arrived = q, &b.set.Classes[q.Class], now
 	r.deadline = now + min(max(q.Left, 0), r.class.Deadline)
-	r.band = b.band[q.Class][b.part(r)]
+	r.queue = b.queueOf[q.Class][b.queueBits(r)]
 	b.reqs[q.ID] = r
-	b.widen()
-	for i := range b.arrived {
-		b.arrived[i] *= 1 - lineWeight
-	}
-	b.arrived[r.band]++
-	b.wake(max(now, r.deadline-answerSteps*b.set.Step), tokenAnswer<<tokenShift|uint64(q.ID))
-	if now+answerSteps*b.set.Step >= r.deadline {
-		b.answer(r) // it came too late to be sent
+	b.widenReach()
+	for i := range b.arrivals {
+		b.arrivals[i] *= 1 - arrivalWeight
+	}
+	b.arrivals[r.queue]++
+	b.setTimer(max(now, r.deadline-marginSteps*b.set.Step), tokenAnswer<<tokenShift|uint64(q.ID))
+	if now+marginSteps*b.set.Step >= r.deadline {
+		b.answer(r) // the deadline is too close to send it
 		return
 	}
-	if b.shed(r) {
-		b.log(logShed, "shedding: answers are late, %.0f%% of requests admitted", 100*b.admit)
+	if b.shouldShed(r) {
+		b.log(logShed, "shedding: answers are late, %.0f%% of requests admitted", 100*b.admitted)
 		b.answer(r)
 		return
 	}
-	b.place(r, false)
+	b.sendOrQueue(r, false)
 }
 
-// widen has an instance that sees more than its part of the load draw from more hosts, so that
-// its own requests fill none: reachShare for each that is out, as answers take while nothing is
-// crowded. Cold hosts beyond the subset have other sharers and get nothing of it.
-func (b *Balancer) widen() {
-	if b.ownAt == 0 {
-		b.ownFrom = b.now
+// widenReach lets an instance that gets more than its share of the load use more hosts than its subset,
+// so that its own requests do not fill any of them: hostsPerInFlight hosts per request in flight, as
+// estimated from the request rate and the RTT without overload. Cold hosts beyond the subset have
+// other sharers and get nothing from this instance.
+func (b *Balancer) widenReach() {
+	if b.ownRateAt == 0 {
+		b.ownRateFrom = b.now
 	}
-	b.own, b.ownAt = b.own*math.Exp(-(b.now-b.ownAt).Seconds()/b.span)+1/b.span, b.now
-	rate := b.own / max(rateLeast, 1-math.Exp(-(b.now-b.ownFrom).Seconds()/b.span))
-	b.reach = max(b.subset, int(math.Ceil(reachShare*rate*min(b.all.mean, calmAims*b.aim.Seconds()))))
+	b.ownRate, b.ownRateAt = b.ownRate*math.Exp(-(b.now-b.ownRateAt).Seconds()/b.rateSpan)+1/b.rateSpan, b.now
+	rate := b.ownRate / max(minRateFraction, 1-math.Exp(-(b.now-b.ownRateFrom).Seconds()/b.rateSpan))
+	b.reach = max(b.subsetSize, int(math.Ceil(hostsPerInFlight*rate*
+		min(b.meanRTT.mean, shedUntilLateness*b.shortestAim.Seconds()))))
 }
 
-// shed says whether a request is refused on arrival: requests are admitted in the
-// order of their worth up to the share that hosts serve in time. It guards against
-// hosts that are crowded by many instances at once, of which each holds so little
-// that no in-flight limit of its own could tell. It acts while answers are late.
-func (b *Balancer) shed(r *request) bool {
-	if b.admit >= 1 || b.sharers <= shedSharers {
+// shouldShed reports whether a request is refused on arrival: requests are admitted in the order of
+// their worth up to the share that hosts serve in time. It protects hosts that many instances overload
+// together while each has so few attempts there that no in-flight limit of its own can detect it. It
+// applies while answers are late.
+func (b *Balancer) shouldShed(r *request) bool {
+	if b.admitted >= 1 || b.sharers <= shedAboveSharers {
 		return false
 	}
-	if b.lateness() < calmAims { // nothing speaks for a crowd any more
-		b.admit = 1
+	if b.lateness() < shedUntilLateness { // no sign of overload any more
+		b.admitted = 1
 		return false
 	}
 	var all, before float64
-	for i, n := range b.arrived {
+	for i, n := range b.arrivals {
 		all += n
-		if i < r.band {
+		if i < r.queue {
 			before += n
 		}
 	}
-	return b.admit*all < before+b.arrived[r.band]*b.float()
+	return b.admitted*all < before+b.arrivals[r.queue]*b.float()
 }
 
-// press moves the share admitted by how late an answer came, in aims, weighed by worth.
-// One that did not come by the deadline says as much as two.
-func (b *Balancer) press(c *Class, rtt, answers float64) {
-	b.worth.add(c.Worth)
-	steps := min(mostSteps, max(1, float64(b.now-b.pressAt)/float64(b.longAim)*4))
-	b.pressAt = b.now
+// recordLateness adjusts the admitted share by how late an answer was, as a fraction of its aim, weighted
+// by worth. A missing answer at the deadline counts as two (answers).
+func (b *Balancer) recordLateness(c *Class, rtt, answers float64) {
+	b.meanWorth.add(c.Worth)
+	steps := min(maxAdmitSteps, max(1, float64(b.now-b.latenessAt)/float64(b.longestAim)*4))
+	b.latenessAt = b.now
 	b.lateness()
-	b.late.Add(min(1, rtt/c.Aim.Seconds()), answers*min(c.Worth/b.worth.mean, 2), pressLast)
-	if over := b.lateness()/pressAims - 1; over > 0 {
-		b.admit = max(admitLeast, b.admit*math.Pow(1-shedStep*min(over, 1), steps))
+	b.relativeRTT.Add(min(1, rtt/c.Aim.Seconds()), answers*min(c.Worth/b.meanWorth.mean, 2), maxLateWeight)
+	if over := b.lateness()/shedFromLateness - 1; over > 0 {
+		b.admitted = max(minAdmitted, b.admitted*math.Pow(1-shedStep*min(over, 1), steps))
 	} else {
-		b.admit = min(1, b.admit-admitStep*over*steps)
+		b.admitted = min(1, b.admitted-admitStep*over*steps)
 	}
 }
 
-// lateness is how late answers are, in aims, by what is held of the last few.
+// lateness returns the estimated mean RTT of the last few answers, in aims.
 func (b *Balancer) lateness() float64 {
-	b.late.Fade(b.now, b.longAim)
-	return b.late.Toward(easyAims, easyAnswers)
+	b.relativeRTT.Fade(b.now, b.longestAim)
+	return b.relativeRTT.Toward(priorLateness, priorAnswers)
 }
 
-// The parts of a class that wait in lines of their own.
+// The bits that select one of the four queues of a class.
 const (
-	overQuota = 1 << iota // beyond the tenant's quota
-	repeated              // the client has asked before
+	overQuota   = 1 << iota // the request is beyond the quota of its tenant
+	clientRetry             // the request is a client retry
 )
 
-// part says which part of its class a request belongs to.
-func (b *Balancer) part(r *request) (part int) {
-	if r.Tenant >= 0 && r.Tenant < len(b.quota) && !b.quota[r.Tenant].take(b.now) {
-		part |= overQuota
+// queueBits returns which queue of its class a request belongs to, and uses up quota of its tenant.
+func (b *Balancer) queueBits(r *request) (bits int) {
+	if r.Tenant >= 0 && r.Tenant < len(b.quotas) && !b.quotas[r.Tenant].take(b.now) {
+		bits |= overQuota
 	}
 	if r.Repeat {
-		part |= repeated
+		bits |= clientRetry
 	}
-	return part
+	return bits
 }
 
-// Started says that a stream has begun: the request belongs to that attempt.
+// Started reports that the answer stream of attempt n has begun: the request is committed to that
+// attempt, and other attempts are canceled.
 func (b *Balancer) Started(now Time, id RequestID, n int) {
 	b.now = now
-	if r := b.reqs[id]; r != nil && !r.done && n >= 0 && n < len(r.atts) {
-		r.bound = true
+	if r := b.reqs[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) {
+		r.committed = true
 		b.cancelOthers(r, n)
 	}
 }
 
-// Feeding says that the body of an attempt's request is still coming from the client: how
-// long that takes is no fault of the host's, of which it holds a part, and the request's time
-// begins with the last byte.
-func (b *Balancer) Feeding(now Time, id RequestID, n int) {
+// RequestBodyPending reports that the body of the request of attempt n is still arriving from the client.
+// The host is not blamed for that time; the attempt counts as a streaming body there, and the time of
+// the request begins with the last byte.
+func (b *Balancer) RequestBodyPending(now Time, id RequestID, n int) {
 	b.now = now
-	if a := b.attempt(id, n); a != nil && !a.away {
-		a.req.feeding = true
-		a.flow()
+	if a := b.openAttempt(id, n); a != nil && !a.streaming {
+		a.req.bodyPending = true
+		a.startStreaming()
 	}
 }
 
-// Fed says that the last byte of a request that was Feeding has gone out.
-func (b *Balancer) Fed(now Time, id RequestID, n int) {
+// RequestBodySent reports that the last byte of a request after RequestBodyPending has been sent.
+func (b *Balancer) RequestBodySent(now Time, id RequestID, n int) {
 	b.now = now
-	if a := b.attempt(id, n); a != nil && a.req.feeding {
-		a.sent, a.stood = now, b.stood
-		a.stay()
-		b.fedUp(a.req)
+	if a := b.openAttempt(id, n); a != nil && a.req.bodyPending {
+		a.sent, a.stallTime = now, b.stallTime
+		a.stopStreaming()
+		b.restartDeadline(a.req)
 	}
 }
 
-// fedUp gives a request that was fed its whole time from now on.
-func (b *Balancer) fedUp(r *request) {
-	r.feeding, r.moved, r.arrived = false, true, b.now
+// restartDeadline gives a request whose body has been sent its whole time, counted from now.
+func (b *Balancer) restartDeadline(r *request) {
+	r.bodyPending, r.deadlineMoved, r.arrived = false, true, b.now
 	r.deadline = b.now + min(max(r.Left, 0), r.class.Deadline)
-	b.wake(r.deadline-answerSteps*b.set.Step, tokenAnswer<<tokenShift|uint64(r.ID))
+	b.setTimer(r.deadline-marginSteps*b.set.Step, tokenAnswer<<tokenShift|uint64(r.ID))
 }
 
-// Flowing says that the head of the final answer came, with the result that it would have if
-// it were all, after the host had taken so long, and that its body flows as far as the client
-// takes it in. That holds a part of the host until the Outcome, and tells nothing of its speed.
-func (b *Balancer) Flowing(now Time, id RequestID, n int, result Result, took Time) {
+// ResponseStreaming reports that the head of the final answer has arrived after took, and that its body is
+// now streamed as fast as the client reads it. result is what the result would be if the answer ended
+// here. Until its Outcome the body counts as a streaming body of the host; its duration says nothing
+// about the speed of the host.
+func (b *Balancer) ResponseStreaming(now Time, id RequestID, n int, result Result, took Time) {
 	b.now = now
-	a := b.attempt(id, n)
-	if a == nil || a.flows {
+	a := b.openAttempt(id, n)
+	if a == nil || a.responseStreaming {
 		return
 	}
-	a.flow()
-	a.req.bound, a.req.feeding, a.flows, a.result = true, false, true, result
-	b.observe(a, max(took, 0).Seconds())
-	b.pump()
+	a.startStreaming()
+	a.req.committed, a.req.bodyPending, a.responseStreaming, a.result = true, false, true, result
+	b.recordResult(a, max(took, 0).Seconds())
+	b.serveQueues()
 }
 
-// Outcome is the end of an attempt.
+// Outcome reports the end of an attempt. An unknown or already ended attempt is ignored.
 func (b *Balancer) Outcome(now Time, o Outcome) {
 	b.now = now
 	r := b.reqs[o.Request]
-	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.atts) || r.atts[o.Attempt].ended {
+	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
 		return
 	}
-	a := r.atts[o.Attempt]
+	a := r.attempts[o.Attempt]
 	a.ended, a.result = true, o.Result
-	a.hint = min(o.After, hintAims*b.aim).Seconds()
-	r.out--
-	a.leave()
-	if a.flows && o.Result == Reset { // a body that breaks off is a connection that does
-		b.sample(a.host, b.penalty())
+	a.hint = min(o.After, maxRetryHintAims*b.shortestAim).Seconds()
+	r.inFlight--
+	a.leaveHost()
+	if a.responseStreaming && o.Result == Reset { // the connection broke within the body
+		b.recordRTT(a.host, b.penalty())
 		b.eject(a.host, "connections fail")
 	}
-	if !a.flows { // else its head has told all
-		if r.feeding {
-			b.fedUp(r)
+	if !a.responseStreaming { // otherwise the result was recorded at the head of the answer
+		if r.bodyPending {
+			b.restartDeadline(r)
 		}
-		b.observe(a, b.took(a, max(o.Elapsed, 0)).Seconds())
+		b.recordResult(a, b.countedTime(a, max(o.Elapsed, 0)).Seconds())
 	}
 	b.settle(r, a, o.Closed)
 	b.forget(a.host)
-	b.pump()
+	b.serveQueues()
 }
 
-// Stood says that the gateway itself stood still, or was behind, for d until now. What its
-// hosts answered meanwhile was seen late, which is no slowness of theirs: taken for one, it
-// would cut what they may hold, and requests refused for that would come again.
-func (b *Balancer) Stood(now, d Time) {
+// Stalled reports that the gateway itself was stalled or behind for the duration d until now. Answers
+// that hosts gave in that time were seen late, which does not mean that the hosts were slow: otherwise
+// their in-flight limits would be cut, and requests refused for that would be retried by clients.
+func (b *Balancer) Stalled(now, d Time) {
 	b.now = now
-	b.stood += d
+	b.stallTime += d
 }
 
-// took is how long an attempt has taken after so long, less what the gateway stood still.
-func (b *Balancer) took(a *attempt, elapsed Time) Time {
-	return max(elapsed-(b.stood-a.stood), elapsed/stoodLeast)
+// countedTime returns the elapsed time of an attempt less the time that the gateway was stalled, but at
+// least a stallTimeDivisor-th of it.
+func (b *Balancer) countedTime(a *attempt, elapsed Time) Time {
+	return max(elapsed-(b.stallTime-a.stallTime), elapsed/stallTimeDivisor)
 }
 
-// Gone says that nobody waits for the request any more.
-func (b *Balancer) Gone(now Time, id RequestID) {
+// ClientGone reports that the client no longer waits for the request.
+func (b *Balancer) ClientGone(now Time, id RequestID) {
 	b.now = now
 	if r := b.reqs[id]; r != nil && !r.done {
 		b.end(r)
 	}
 }
 
-// Timer is a Wake that has come due.
+// Timer reports that the timer of a Wake action has fired.
 func (b *Balancer) Timer(now Time, token uint64) {
 	b.now = now
 	switch token >> tokenShift {
 	case tokenSweep:
 		if now >= b.sweepAt {
 			b.sweepAt = 0
-			if b.warmAt > 0 && now >= b.warmAt {
-				b.layRing()
+			if b.nextWarmAt > 0 && now >= b.nextWarmAt {
+				b.rebuildRing()
 			}
-			b.listen()
-			b.relieve()
-			b.pump()
+			b.ejectSilent()
+			b.giveUpOverdue()
+			b.serveQueues()
 		}
 	case tokenWatch:
 		if now >= b.watchAt && !b.watching {
-			b.act(Action{Kind: Watch})
+			b.addAction(Action{Kind: Watch})
 			b.watchIn(b.set.AskWithin)
 		}
 	case tokenAnswer:
 		r := b.reqs[RequestID(token&(1<<tokenShift-1))]
-		if r == nil || r.done || r.bound || r.feeding || r.moved && now < r.deadline-answerSteps*b.set.Step {
+		if r == nil || r.done || r.committed || r.bodyPending ||
+			r.deadlineMoved && now < r.deadline-marginSteps*b.set.Step {
 			return
 		}
-		b.overdue(r)
+		b.recordOverdue(r)
 		b.answer(r)
 	}
 }
 
-// overdue learns from a request that has no answer at its deadline as from a
-// time-out: called off, its attempts would tell nothing of hosts that are so late.
-func (b *Balancer) overdue(r *request) {
-	for _, a := range r.atts {
-		if !a.ended && !a.away {
-			rtt := b.took(a, b.now-a.sent).Seconds()
-			b.press(r.class, rtt, 2)
-			b.sample(a.host, rtt)
-			b.adjust(a.host, rtt, a.sent)
+// recordOverdue records the attempts in flight of a request that is given up for lateness like time-outs:
+// they are canceled, and their outcomes would not count against hosts that are so late.
+func (b *Balancer) recordOverdue(r *request) {
+	for _, a := range r.attempts {
+		if !a.ended && !a.streaming {
+			rtt := b.countedTime(a, b.now-a.sent).Seconds()
+			b.recordLateness(r.class, rtt, 2)
+			b.recordRTT(a.host, rtt)
+			b.adjustLimit(a.host, rtt, a.sent)
 		}
 	}
 }
 
-// place sends the request if a host is ready for it and else lets it wait. It
-// does not overtake what waits already.
-func (b *Balancer) place(r *request, again bool) {
+// sendOrQueue sends the request if a host is ready for it, and queues it otherwise. It does not overtake
+// requests that already wait.
+func (b *Balancer) sendOrQueue(r *request, again bool) {
 	if b.queued == 0 {
 		if h := b.pick(r); h != nil {
 			b.send(r, h)
@@ -617,92 +640,96 @@
 		}
 	}
 	b.enqueue(r, again)
-	b.pump()
+	b.serveQueues()
 }
 
-// pick is the ordinary path: of two random ready hosts, the less loaded. Where near hosts
-// are preferred and that one is remote, the less loaded of two near ones is weighed against
-// it: the near zone is used until it is slower by what crossing costs.
+// pick selects a host on the normal path: of two random ready hosts, the less loaded one. If hosts of
+// the own zone are preferred and the selected one is remote, it is compared with the less loaded of
+// two near ones: the own zone is used until it is slower by the cost of crossing zones. It returns nil
+// if no host is ready.
 func (b *Balancer) pick(r *request) *host {
-	b.picks++
-	b.heeds = float64(min(b.picks%blindIn, 1))
+	b.pickCount++
+	b.peerLoadFactor = float64(min(b.pickCount%ignorePeerLoadEvery, 1))
 	h := b.pickAny(r)
-	if h == nil || len(b.nearby) == 0 || !b.remote(h) {
+	if h == nil || len(b.nearSubset) == 0 || !b.remote(h) {
 		return h
 	}
-	x, y := b.drawTwo(r, b.nearby)
-	return b.lighter(b.lighter(x, y), h)
+	x, y := b.drawTwo(r, b.nearSubset)
+	return b.lessLoaded(b.lessLoaded(x, y), h)
 }
 
 func (b *Balancer) pickAny(r *request) *host {
-	if h := b.owed(r); h != nil {
+	if h := b.reinstatedHost(r); h != nil {
 		return h
 	}
-	if h := b.draw(r); h != nil {
+	if h := b.drawRandom(r); h != nil {
 		return h
 	}
-	full := b.walk(r, false)
-	if len(b.ready)+full == 0 && b.backups > 0 {
-		full = b.walk(r, true) // none of the others can take it
-	}
-	// Fail open: when most hosts are out, the fault is more likely the path or the load
-	// than every host, and the few left must not take it all. Not if they take no connection.
-	if len(b.out) > len(b.ready)+full {
-		b.log(logFailOpen, "%d hosts are ejected, most that are near: using them all the same", len(b.out))
-		for _, h := range b.out[:min(len(b.out), b.subset)] {
-			if !b.coldHold(h) && !b.atLimit(h) {
-				b.ready = append(b.ready, h)
+	atLimit := b.collectReady(r, false)
+	if len(b.readyScratch)+atLimit == 0 && b.backups > 0 {
+		atLimit = b.collectReady(r, true) // no other host can take the request
+	}
+	// Fail open: if most hosts are ejected, the cause is more likely the network path or the load
+	// than every host, and the few others must not get all requests. Hosts that refuse connections
+	// are excluded.
+	if len(b.ejectedScratch) > len(b.readyScratch)+atLimit {
+		b.log(logFailOpen, "%d hosts are ejected, most that are near: using them all the same",
+			len(b.ejectedScratch))
+		for _, h := range b.ejectedScratch[:min(len(b.ejectedScratch), b.subsetSize)] {
+			if !b.coldBlocked(h) && !b.atLimit(h) {
+				b.readyScratch = append(b.readyScratch, h)
 			}
 		}
 	}
-	n := len(b.ready)
-	if n == 0 && full == 0 {
+	n := len(b.readyScratch)
+	if n == 0 && atLimit == 0 {
 		return b.lastResort(r)
 	}
 	if n == 0 {
 		return nil
 	}
 	if n == 1 {
-		return b.ready[0]
+		return b.readyScratch[0]
 	}
-	// By weights the two draws are independent, and the first stands unless the second is much
-	// lighter: peaks of a host that gets more are higher, and would share work out evenly.
+	// With weights the two draws are independent, and the first is used unless the second has much
+	// less load: a host with a larger weight has higher RTT peaks, and a plain comparison would
+	// distribute the work evenly.
 	if b.weighted {
-		x, y := b.byWeight(b.ready), b.byWeight(b.ready)
-		if b.load(x) > yieldsAt*b.load(y) {
+		x, y := b.drawByWeight(b.readyScratch), b.drawByWeight(b.readyScratch)
+		if b.load(x) > weightedLoadRatio*b.load(y) {
 			return y
 		}
 		return x
 	}
-	// Two random ones, as cards are dealt: those that had none in this pass come first. Of few
-	// requests chance alone would give one host three in a row.
-	x, y, first, second := (*host)(nil), (*host)(nil), 2.0, 2.0
-	for _, h := range b.ready {
-		at := b.float()
-		if h.dealt == b.pass {
-			at++
+	// Two random hosts, preferring those that were not used in this selection round: with few
+	// requests, pure chance would often send three in a row to one host.
+	x, y, lowest, secondLowest := (*host)(nil), (*host)(nil), 2.0, 2.0
+	for _, h := range b.readyScratch {
+		rank := b.float()
+		if h.lastRound == b.round {
+			rank++
 		}
-		if at < first {
-			x, y, first, second = h, x, at, first
-		} else if at < second {
-			y, second = h, at
+		if rank < lowest {
+			x, y, lowest, secondLowest = h, x, rank, lowest
+		} else if rank < secondLowest {
+			y, secondLowest = h, rank
 		}
 	}
-	if first >= 1 {
-		b.pass++
+	if lowest >= 1 {
+		b.round++
 	}
-	return b.lighter(x, y)
+	return b.lessLoaded(x, y)
 }
 
-// lastResort is the host to try where none of the subset takes connections, nil: none yet. It guards
-// against a path that fails for a moment, which ejects them all: waits begin short, and grow while no
-// host is reached.
+// lastResort returns the host to connect to if all hosts of the subset refuse connections, or nil if it
+// is too early for another attempt. It handles a network path that fails for a moment, which ejects all
+// hosts: delays begin short, and grow while no host is reached.
 func (b *Balancer) lastResort(r *request) (best *host) {
 	for _, h := range b.ring[:min(b.reach, len(b.ring))] {
-		if h.State != Ready || !h.down || h.trialOut || h.waits || b.now < h.retryAt || !b.allows(r, h) {
+		if h.State != Ready || !h.down || h.probing || h.peersProbe || b.now < h.retryAt || !b.allows(r, h) {
 			continue
 		}
-		if b.coldHold(h) || h.cold && !h.mine {
+		if b.coldBlocked(h) || h.cold && !h.usableCold {
 			continue
 		}
 		if best == nil || h.retryAt < best.retryAt {
@@ -712,70 +739,70 @@
 	return best
 }
 
-// walk collects the hosts of the subset that are ready, and those that are ejected, either of
-// the backups or of all others. It says how many more hold all they may.
-func (b *Balancer) walk(r *request, backups bool) (full int) {
-	b.ready, b.out = b.ready[:0], b.out[:0]
+// collectReady collects the ready hosts and the ejected hosts of the subset, considering either only
+// backup hosts or only the others. It returns how many more hosts are at their in-flight limit.
+func (b *Balancer) collectReady(r *request, backups bool) (atLimit int) {
+	b.readyScratch, b.ejectedScratch = b.readyScratch[:0], b.ejectedScratch[:0]
 	for i, h := range b.ring {
 		if h.Backup != backups {
 			continue
 		}
-		// The walk ends with the subset, however few are of use: were each instance to seek
-		// on, those few would hold one attempt of every instance, and all be late.
-		if n := len(b.ready) + full; n == b.reach || n > 1 && i >= b.reach {
+		// The loop ends with the subset, however few of its hosts are usable: if each instance
+		// searched on, those few would get an attempt of every instance, and all would be late.
+		if n := len(b.readyScratch) + atLimit; n == b.reach || n > 1 && i >= b.reach {
 			break
 		}
 		switch {
 		case h.State != Ready || !b.allows(r, h):
 		case b.ejected(r, h) && h.down:
 		case b.ejected(r, h):
-			b.out = append(b.out, h)
-		case b.coldHold(h):
-		case h.cold && !h.mine: // those further on have other sharers
+			b.ejectedScratch = append(b.ejectedScratch, h)
+		case b.coldBlocked(h):
+		case h.cold && !h.usableCold: // hosts further on have other sharers
 		case b.atLimit(h):
-			full++
+			atLimit++
 		default:
-			b.ready = append(b.ready, h)
+			b.readyScratch = append(b.readyScratch, h)
 		}
 	}
-	return full
+	return atLimit
 }
 
-// lighter is the less loaded of two hosts, or the one that there is.
-func (b *Balancer) lighter(x, y *host) *host {
+// lessLoaded returns the less loaded of two hosts; either may be nil.
+func (b *Balancer) lessLoaded(x, y *host) *host {
 	if x == nil || y != nil && b.load(y) < b.load(x) {
 		return y
 	}
 	return x
 }
 
-// draw is pick in a large subset: hosts are drawn until two that are ready have been, which
-// makes them two random ready ones as well, at a cost that does not grow with the subset.
-// It gives way to the walk where the subset is small or many of those drawn are of no use.
-func (b *Balancer) draw(r *request) *host {
+// drawRandom selects a host in a large subset: hosts are drawn at random until two of them are ready,
+// which gives two random ready hosts at a cost that does not grow with the subset. It returns nil, and
+// collectReady is used instead, if the subset is small, hosts have weights, or too few draws are ready.
+func (b *Balancer) drawRandom(r *request) *host {
 	n := min(b.reach, len(b.ring))
-	if n < drawLeast || b.weighted {
+	if n < minDrawSubset || b.weighted {
 		return nil
 	}
 	x, y := b.drawTwo(r, b.ring[:n])
 	if y == nil {
 		return nil
 	}
-	return b.lighter(x, y)
+	return b.lessLoaded(x, y)
 }
 
-// drawTwo draws until two hosts that are ready have been; nil: too few were.
+// drawTwo draws hosts at random until two of them are ready. Results that were not found are nil.
 func (b *Balancer) drawTwo(r *request, from []*host) (one, two *host) {
-	dealt := 0
-	for range drawTries {
+	seen := 0
+	for range maxDraws {
 		h := from[b.rand(len(from))]
 		switch {
 		case h == one || h.Backup || h.State != Ready || !b.allows(r, h) || b.ejected(r, h):
-		case h.cold && !h.mine:
-		case b.coldHold(h) || b.atLimit(h):
-		case h.dealt == b.pass && dealt < drawTries/2:
-			if dealt++; dealt == drawTries/2 {
-				b.pass++
+		case h.cold && !h.usableCold:
+		case b.coldBlocked(h) || b.atLimit(h):
+		case h.lastRound == b.round && seen < maxDraws/2:
+			if seen++; seen == maxDraws/2 {
+				b.round++
 			}
 		case one != nil:
 			return one, h
@@ -786,106 +813,110 @@
 	return one, nil
 }
 
-// load is the score of a host: its estimate now x (own pending + 1). A host of
-// another zone counts as slower by what crossing costs, in shares of the shortest aim.
+// load returns the score of a host: its RTT estimate x (own pending attempts + 1). A host of another zone
+// counts as slower by the cost of crossing zones, a fraction of the shortest aim.
 func (b *Balancer) load(h *host) float64 {
-	rtt := b.believed(h)
+	rtt := b.believedRTT(h)
 	if b.remote(h) {
-		rtt += b.set.CrossPrice * b.aim.Seconds()
+		rtt += b.set.CrossPrice * b.shortestAim.Seconds()
 	}
-	rtt *= 1 + doubtLoad*b.until(h.doubt, h.doubtUntil)
-	others := b.heeds * b.until(h.others, h.othersUntil)
-	return rtt * ((float64(h.pending)+others+streamPart*float64(h.streams))/h.weight() + 1)
+	rtt *= 1 + suspicionLoad*b.unlessExpired(h.suspicion, h.suspicionUntil)
+	others := b.peerLoadFactor * b.unlessExpired(h.peerLoad, h.peerLoadUntil)
+	return rtt * ((float64(h.pending)+others+streamLoad*float64(h.streams))/h.weight() + 1)
 }
 
-// estimate reads the RTT decayed toward zero, so that a host that was
-// penalised and then left alone drifts back into use.
-func (b *Balancer) estimate(h *host) float64 {
-	if h.fresh {
-		return b.seed(h) * b.fade(h)
+// decayedRTT returns the RTT estimate in seconds, decayed toward zero so that a host that was penalized
+// and then left unused is gradually used again.
+func (b *Balancer) decayedRTT(h *host) float64 {
+	if h.unsampled {
+		return b.initialRTT(h) * b.estimateWeight(h)
 	}
-	return h.rtt * b.fade(h)
+	return h.rtt * b.estimateWeight(h)
 }
 
-// believed is the estimate as far as evidence says that the host differs from the others: of
-// few samples a peak tells more of the request than of the host, and hosts alike would get
-// unlike parts. Where they are many, or plain, it stands whole; so does a penalty.
-func (b *Balancer) believed(h *host) float64 {
-	usual := b.all.mean
-	if e := b.estimate(h); !b.all.seen || h.fresh || h.faulty && e > usual {
+// believedRTT returns the RTT estimate in seconds, drawn toward the mean of all hosts unless there is
+// evidence that the host differs: with few samples, a peak says more about the request than about the
+// host, and equal hosts would get unequal shares. With many or clear samples the estimate counts in
+// full; so does a penalty.
+func (b *Balancer) believedRTT(h *host) float64 {
+	average := b.meanRTT.mean
+	if e := b.decayedRTT(h); !b.meanRTT.seen || h.unsampled || h.penalized && e > average {
 		return e
 	}
-	h.faulty = false
-	h.slow.Fade(b.now, b.decay())
-	sure := evidence.Sure(h.slow.Apart(0, b.noise.Deviation(1, easyAnswers), 1), likeUpTo, sureFrom)
-	return (usual + (h.rtt-usual)*sure) * b.fade(h)
-}
-
-// tell takes in how many times longer an answer took than its class does, as a logarithm.
-func (b *Balancer) tell(h *host, rtt, usual float64) {
-	if rtt > 0 && usual > 0 {
-		x := math.Log(rtt / usual)
-		b.works.Add(x, 1, heldMost)
-		x -= b.works.Sum / b.works.N
-		h.slow.Fade(b.now, b.decay())
-		b.noise.Add(x-h.slow.Toward(0, 1), 1, heldMost)
-		h.slow.Add(x, 1, heldMost)
+	h.penalized = false
+	h.relativeTimes.Fade(b.now, b.estimateDecay())
+	confidence := evidence.Sure(h.relativeTimes.Apart(0, b.noise.Deviation(1, priorAnswers), 1),
+		equalUpTo, differentFrom)
+	return (average + (h.rtt-average)*confidence) * b.estimateWeight(h)
+}
+
+// recordRelativeTime records the logarithm of the ratio of the RTT of an answer to the mean of its class.
+func (b *Balancer) recordRelativeTime(h *host, rtt, classMean float64) {
+	if rtt > 0 && classMean > 0 {
+		x := math.Log(rtt / classMean)
+		b.relativeTimes.Add(x, 1, maxSampleWeight)
+		x -= b.relativeTimes.Sum / b.relativeTimes.N
+		h.relativeTimes.Fade(b.now, b.estimateDecay())
+		b.noise.Add(x-h.relativeTimes.Toward(0, 1), 1, maxSampleWeight)
+		h.relativeTimes.Add(x, 1, maxSampleWeight)
 		if !h.cold {
-			b.kinds[h.Kind].Add(x, 1, 1/meanWeight)
+			b.kindTimes[h.Kind].Add(x, 1, 1/meanWeight)
 		}
 	}
 }
 
-// seed is the estimate of a host that has given no sample: the mean RTT of its kind
-// or, before its kind has given any, a share of the shortest aim. It guards the slow
-// hosts of a large fleet, where each instance meets each host seldom, against an equal
-// share, which is more than they can do. Acts until the first sample.
-func (b *Balancer) seed(h *host) float64 {
-	if b.kinds[h.Kind].N > 0 {
-		return b.all.mean * b.slower(h)
+// initialRTT returns the RTT estimate in seconds of a host without samples: the mean RTT of its kind or,
+// if its kind has no samples, a fraction of the shortest aim. In a large fleet each instance rarely
+// uses each host; without it slow hosts would get an equal share there, which is more than they can
+// serve. It applies until the first sample.
+func (b *Balancer) initialRTT(h *host) float64 {
+	if b.kindTimes[h.Kind].N > 0 {
+		return b.meanRTT.mean * b.kindSlowdown(h)
 	}
-	return seedShare * b.aim.Seconds()
+	return unknownAims * b.shortestAim.Seconds()
 }
 
-// slower is how many times longer the host's kind takes than all do.
-func (b *Balancer) slower(h *host) float64 { return math.Exp(b.kinds[h.Kind].Toward(0, 1)) }
+// kindSlowdown returns the ratio of the time of the kind of the host to the mean of all hosts.
+func (b *Balancer) kindSlowdown(h *host) float64 { return math.Exp(b.kindTimes[h.Kind].Toward(0, 1)) }
 
-// penalty is the base penalty of an error or a refusal. It grows with the mean RTT:
-// beside hosts that answer late, one that refuses at once would be the best choice.
+// penalty returns the minimum RTT in seconds recorded for an error or a refusal. It grows with the mean
+// RTT: next to slow hosts, a host that refuses at once would otherwise be the best choice.
 func (b *Balancer) penalty() float64 {
-	return max(penaltyAims*b.aim.Seconds(), penaltyRTTs*b.all.mean)
+	return max(penaltyAims*b.shortestAim.Seconds(), penaltyRTTs*b.meanRTT.mean)
 }
 
-// fade is the weight that a host's estimate has kept since its last sample. Where
-// samples of a host come seldom, a decay of a few aims would leave nothing of one by
-// the next and the draw would be of chance: it grows with the gap between samples.
-func (b *Balancer) fade(h *host) float64 {
-	return math.Exp(-float64(b.now-h.rttAt) / float64(b.decay()))
+// estimateWeight returns the weight that the RTT estimate of a host has kept since its last sample. If
+// samples of a host are rare, a decay within a few aims would leave nothing of one by the next sample
+// and the selection would be random; so the time constant grows with the gap between samples.
+func (b *Balancer) estimateWeight(h *host) float64 {
+	return math.Exp(-float64(b.now-h.rttAt) / float64(b.estimateDecay()))
 }
 
-func (b *Balancer) decay() Time { return max(decayAims*b.aim, Time(1e9*decayGaps*b.gap.mean)) }
+func (b *Balancer) estimateDecay() Time {
+	return max(decayAims*b.shortestAim, Time(1e9*decayGaps*b.sampleGap.mean))
+}
 
-// sample enters an RTT: above the estimate decayed to now it replaces it, below
+// recordRTT records an RTT in seconds: if it is above the decayed estimate it replaces the estimate, below
 // it is blended in.
-func (b *Balancer) sample(h *host, rtt float64) {
-	if h.fresh {
-		h.rtt, h.fresh = b.seed(h), false
+func (b *Balancer) recordRTT(h *host, rtt float64) {
+	if h.unsampled {
+		h.rtt, h.unsampled = b.initialRTT(h), false
 	}
-	w := b.fade(h)
+	w := b.estimateWeight(h)
 	if rtt > h.rtt*w {
 		h.rtt = rtt
 	} else {
 		h.rtt = h.rtt*w + rtt*(1-w)
 	}
-	b.gap.add((b.now - h.rttAt).Seconds())
+	b.sampleGap.add((b.now - h.rttAt).Seconds())
 	h.rttAt = b.now
 }
 
-// allows says whether the class rules let the request go to the host now.
+// allows reports whether the rules of the class let the request go to the host now.
 func (b *Balancer) allows(r *request, h *host) bool {
 	first := r.first()
 	switch c := r.class; {
-	case !b.repeatable(c, first):
+	case !b.retryable(c, first):
 		return false
 	case first == nil || c.Effect == Safe:
 		return true
@@ -897,56 +928,57 @@
 	return true
 }
 
-// repeatable says whether a request of the class may be sent (again) somewhere,
-// given its first attempt that may have run: an unsafe one never, a keyed one only
-// while repeats are sure to be dropped.
-func (b *Balancer) repeatable(c *Class, first *attempt) bool {
+// retryable reports whether a request of the class may be sent (again), given its first attempt that may
+// have run (nil if there is none): an unsafe request never, a keyed one only while hosts are sure to drop
+// duplicates.
+func (b *Balancer) retryable(c *Class, first *attempt) bool {
 	if first == nil || c.Effect == Safe {
 		return true
 	}
-	return c.Effect == Keyed && b.now-first.sent <= c.Window-answerSteps*b.set.Step
+	return c.Effect == Keyed && b.now-first.sent <= c.Window-marginSteps*b.set.Step
 }
 
-// ejected says whether a host that failed is out of the draw: until its back-off
-// ends, and then for all but one trial at a time. The trial is a request that may be
-// sent again, while there are such: one that may not would be lost to a failing host.
+// ejected reports whether a request may not go to a host because of failures: until the ejection ends,
+// and then for all but one probe at a time. The probe is a request that may be retried, unless there is
+// none for safeProbeAims: an unsafe one would be lost at a failing host. Full suspicion by peers also
+// keeps unsafe requests away.
 func (b *Balancer) ejected(r *request, h *host) bool {
 	unsafe := r.class.Effect == Unsafe
-	return unsafe && b.until(h.doubt, h.doubtUntil) == 1 || h.fails > 0 &&
-		(b.now < h.ejectUntil || h.trialOut || unsafe && b.now < h.ejectUntil+trialAims*b.aim)
+	return unsafe && b.unlessExpired(h.suspicion, h.suspicionUntil) == 1 || h.ejections > 0 &&
+		(b.now < h.ejectUntil || h.probing || unsafe && b.now < h.ejectUntil+safeProbeAims*b.shortestAim)
 }
 
-// Usable says whether a request of the class could be sent to any host now, were none
-// full: where not, the gateway may have another fleet of hosts for it.
+// Usable reports whether a request of the class could be sent to any host now if none were at its limit.
+// If not, the gateway may use another pool of hosts for it.
 func (b *Balancer) Usable(now Time, class int) bool {
 	b.now = now
 	r := request{class: &b.set.Classes[class]}
 	return slices.ContainsFunc(b.hosts, func(h *host) bool { return h.State == Ready && !b.ejected(&r, h) })
 }
 
-// Capacity is how many attempts this instance may have out, as hosts are now: the sum of
-// the limits of those that are in use. Backups count where there is nothing else.
+// Capacity returns how many attempts this instance may have in flight now: the sum of its shares of the
+// limits of the hosts in use. Backup hosts count only if there are no others.
 func (b *Balancer) Capacity(now Time) (n float64) {
 	b.now = now
 	backups := 0.0
 	for _, h := range b.hosts {
-		switch room := max(1, h.limit/b.sharers); {
-		case h.State != Ready || h.fails > 0 && b.now < h.ejectUntil:
+		switch limit := max(1, h.limit/b.sharers); {
+		case h.State != Ready || h.ejections > 0 && b.now < h.ejectUntil:
 		case h.Backup:
-			backups += room
+			backups += limit
 		default:
-			n += room
+			n += limit
 		}
 	}
 	return cmp.Or(n, backups)
 }
 
-// Pace is how many requests a second this instance may send while all hosts that it may use
-// are cold; 0: one of them is warm, and no budget of cold hosts bounds the whole.
-func (b *Balancer) Pace(now Time) (rate float64) {
+// ColdSendRate returns how many requests per second this instance may send if all its usable hosts are
+// cold. 0 means that there is no such bound, as at least one usable host is warm, or no host is usable.
+func (b *Balancer) ColdSendRate(now Time) (rate float64) {
 	b.now = now
 	for _, h := range b.hosts {
-		if h.State != Ready || h.fails > 0 && b.now < h.ejectUntil {
+		if h.State != Ready || h.ejections > 0 && b.now < h.ejectUntil {
 			continue
 		}
 		age := b.now - h.coldAt
@@ -958,157 +990,158 @@
 	return rate
 }
 
-// eject takes a host out of the draw, longer each time in a row.
+// eject ejects a host, each time in a row for longer. It does nothing if the host is ejected now.
 func (b *Balancer) eject(h *host, why string) {
-	if h.fails > 0 && b.now < h.ejectUntil {
+	if h.ejections > 0 && b.now < h.ejectUntil {
 		return
 	}
-	d := float64(backoffAims*b.aim) * float64(int(1)<<min(h.fails, backoffMax))
+	d := float64(firstEjectionAims*b.shortestAim) * float64(int(1)<<min(h.ejections, maxDoublings))
 	h.ejectUntil = b.now + Time(d*(0.75+0.5*b.float()))
-	h.fails++
-	if h.fails == 1 {
+	h.ejections++
+	if h.ejections == 1 {
 		b.log(logEject, "host %x ejected: %s", h.ID, why)
 	}
 }
 
-// atLimit says whether a host holds as much from this instance as it may: one at
-// least, as rests of a limit below one starve hosts where many share them.
+// atLimit reports whether a host has as many attempts of this instance in flight as allowed, which is at
+// least one: with many sharers, the share of a limit may be below one, and the host would get nothing.
 func (b *Balancer) atLimit(h *host) bool {
 	return h.pending > 0 && float64(h.pending+1) > h.limit/b.sharers
 }
 
 func (b *Balancer) send(r *request, h *host) {
 	a := b.newAttempt()
-	a.req, a.host, a.sent, a.stood = r, h, b.now, b.stood
-	a.trial = h.fails > 0
-	h.trialOut = h.trialOut || a.trial
-	r.atts = append(r.atts, a)
-	r.out++
+	a.req, a.host, a.sent, a.stallTime = r, h, b.now, b.stallTime
+	a.probe = h.ejections > 0
+	h.probing = h.probing || a.probe
+	r.attempts = append(r.attempts, a)
+	r.inFlight++
 	h.pending++
-	h.dealt = b.pass
+	h.lastRound = b.round
 	a.link.item = a
-	h.flight.pushBack(&a.link)
-	h.credit = min(h.credit-1, 1) // counts while the host is cold
-	b.act(Action{Kind: Send, Request: r.ID, Host: h.ID})
-	b.outNow++
+	h.inFlight.pushBack(&a.link)
+	h.credit = min(h.credit-1, 1) // used only while the host is cold
+	b.addAction(Action{Kind: Send, Request: r.ID, Host: h.ID})
+	b.inFlight++
 	b.sweepSoon()
 }
 
-// observe learns from the end of an attempt.
-func (b *Balancer) observe(a *attempt, rtt float64) {
+// recordResult updates the statistics of the host with the result of an attempt; rtt is in seconds.
+func (b *Balancer) recordResult(a *attempt, rtt float64) {
 	h := a.host
-	if a.trial {
-		h.trialOut = false
+	if a.probe {
+		h.probing = false
 	}
 	switch a.result {
 	case OK:
-		h.good++
-		b.paid(h)
-		b.sample(h, rtt)
-		b.tell(h, rtt, b.lat[a.req.Class].mean)
-		b.lat[a.req.Class].add(rtt)
-		b.all.add(rtt)
-		b.press(a.req.class, rtt, 1)
-		b.adjust(h, rtt, a.sent)
+		h.answersSinceError++
+		b.dropReinstated(h)
+		b.recordRTT(h, rtt)
+		b.recordRelativeTime(h, rtt, b.classRTT[a.req.Class].mean)
+		b.classRTT[a.req.Class].add(rtt)
+		b.meanRTT.add(rtt)
+		b.recordLateness(a.req.class, rtt, 1)
+		b.adjustLimit(h, rtt, a.sent)
 		if !h.cold {
 			if b.servedAt == 0 {
 				b.servedFrom, b.servedAt = a.sent, b.now
 			}
-			kept := b.served * math.Exp(-(b.now-b.servedAt).Seconds()/b.span)
-			b.served = kept + b.fleet/float64(max(b.warm, 1))/b.span
+			kept := b.servedRate * math.Exp(-(b.now-b.servedAt).Seconds()/b.rateSpan)
+			b.servedRate = kept + b.fleetSize/float64(max(b.warmHosts, 1))/b.rateSpan
 			b.servedAt = b.now
 		}
 		b.readmit(h)
 	case Full, Busy:
-		h.faulty = true
-		// Refusals come at once: a host that gives nothing else would draw all that waits.
-		b.adjust(h, max(rtt, b.penalty()), a.sent)
-		b.sample(h, max(rtt, b.penalty(), a.hint))
+		h.penalized = true
+		// Refusals are fast: by its RTT alone, a host that only refuses would get all queued requests.
+		b.adjustLimit(h, max(rtt, b.penalty()), a.sent)
+		b.recordRTT(h, max(rtt, b.penalty(), a.hint))
 		b.readmit(h)
 	case Failed:
-		h.faulty = true
-		b.sample(h, max(rtt, b.penalty(), a.hint))
-		if h.good < errorGap || b.sharers > shedSharers { // often, or seldom seen, so each counts
+		h.penalized = true
+		b.recordRTT(h, max(rtt, b.penalty(), a.hint))
+		if h.answersSinceError < minErrorGap || b.sharers > shedAboveSharers { // frequent, or few samples
 			b.eject(h, "errors")
 		}
-		h.good = 0
+		h.answersSinceError = 0
 	case TimedOut:
-		h.faulty = true
-		b.press(a.req.class, rtt, 1)
-		b.sample(h, rtt)
-		b.adjust(h, rtt, a.sent)
+		h.penalized = true
+		b.recordLateness(a.req.class, rtt, 1)
+		b.recordRTT(h, rtt)
+		b.adjustLimit(h, rtt, a.sent)
 	case ConnectFailed, Reset:
-		h.faulty = true
-		b.sample(h, rtt)
+		h.penalized = true
+		b.recordRTT(h, rtt)
 		b.eject(h, "connections fail")
 		if h.down = a.result == ConnectFailed; h.down {
-			wait := min(math.Ldexp(retryAims, h.refusals), retryMost)
-			h.retryAt = b.now + Time(wait*float64(b.aim))
-			h.refusals++
+			wait := min(math.Ldexp(firstReconnectAims, h.connectFailures), maxReconnectAims)
+			h.retryAt = b.now + Time(wait*float64(b.shortestAim))
+			h.connectFailures++
 		}
 	}
 }
 
-// adjust steers a host's in-flight limit so that its mean RTT stays at a share of the shortest
-// aim. It guards against crowding, which wastes the work of requests that come too late and can
-// tip a host into a slow state; it acts above that share, and then once a round: only an
-// attempt sent after the last cut can tell whether that was enough.
-func (b *Balancer) adjust(h *host, rtt float64, sent Time) {
-	h.lat.addAt(rtt, b.now, recentAims*b.aim.Seconds())
-	target := limitAims * b.aim.Seconds()
-	if h.lat.mean > target {
-		if sent >= h.cutAt {
-			h.limit = max(limitLeast, h.limit*target/h.lat.mean)
-			h.cutAt = b.now
+// adjustLimit adjusts the in-flight limit of a host so that its mean RTT stays at limitRTTAims shortest
+// aims. It prevents overload, which wastes the work of requests that are answered too late and can move
+// a host into a persistently slow state. It cuts the limit above that RTT, at most once per round trip:
+// only an attempt sent after the last cut shows whether that cut was enough.
+func (b *Balancer) adjustLimit(h *host, rtt float64, sent Time) {
+	h.recentRTT.addAt(rtt, b.now, recentRTTAims*b.shortestAim.Seconds())
+	target := limitRTTAims * b.shortestAim.Seconds()
+	if h.recentRTT.mean > target {
+		if sent >= h.limitCutAt {
+			h.limit = max(minHostLimit, h.limit*target/h.recentRTT.mean)
+			h.limitCutAt = b.now
 		}
 	} else if h.pending+1 >= int(h.limit/b.sharers) && b.queued > 0 {
-		h.limit += growth * b.sharers / h.limit
+		h.limit += limitGrowth * b.sharers / h.limit
 	}
 }
 
-// readmit ends an ejection: the host has answered.
+// readmit ends an ejection because the host has answered.
 func (b *Balancer) readmit(h *host) {
-	h.heard = b.now
-	if h.fails == 0 {
+	h.answeredAt = b.now
+	if h.ejections == 0 {
 		return
 	}
-	h.fails, h.down, h.said, h.waits, h.refusals = 0, false, false, false, 0
+	h.ejections, h.down, h.ejectedByPeers, h.peersProbe, h.connectFailures = 0, false, false, false, 0
 	b.log(logReturn, "host %x is back", h.ID)
 }
 
-// settle decides what follows the end of an attempt: nothing if the request
-// has its answer, another attempt if class and time allow it, and else
-// the final answer.
+// settle decides what follows the end of an attempt: nothing if the request has its answer, another
+// attempt if its class and the time left allow it, and otherwise the final answer.
 func (b *Balancer) settle(r *request, a *attempt, closed bool) {
 	switch {
 	case r.done:
 		b.release(r)
-	case closed || a.result == OK && r.bound:
+	case closed || a.result == OK && r.committed:
 		b.end(r)
-	case r.out > 0 || r.queued:
+	case r.inFlight > 0 || r.queued:
 	case b.mayRetry(r):
-		b.place(r, true)
+		b.sendOrQueue(r, true)
 	default:
 		b.answer(r)
 	}
 }
 
 func (b *Balancer) mayRetry(r *request) bool {
-	if r.bound || len(r.atts)+r.Spent >= b.set.MaxAttempts || b.now+2*answerSteps*b.set.Step >= r.deadline {
+	if r.committed || len(r.attempts)+r.Spent >= b.set.MaxAttempts ||
+		b.now+2*marginSteps*b.set.Step >= r.deadline {
 		return false
 	}
-	return b.repeatable(r.class, r.first())
+	return b.retryable(r.class, r.first())
 }
 
-// answer gives the final answer to a request that will not be served: a refusal only where trying
-// again is known to be harmless, for a keyed one as long as hosts drop what comes back.
+// answer gives the final answer to a request that will not be served: Refuse only if a client retry is
+// known to be harmless, which for a keyed request holds as long as hosts drop duplicates; otherwise
+// Fail.
 func (b *Balancer) answer(r *request) {
 	first, keyed := r.first(), r.class.Effect == Keyed && r.class.Group == GroupAll
 	if first == nil || r.class.Effect == Safe ||
 		keyed && b.now+b.set.MaxRetryAfter <= first.sent+r.class.Window {
-		b.act(Action{Kind: Refuse, Request: r.ID, After: min(b.aim/4, b.set.MaxRetryAfter)})
+		b.addAction(Action{Kind: Refuse, Request: r.ID, After: min(b.shortestAim/4, b.set.MaxRetryAfter)})
 	} else {
-		b.act(Action{Kind: Fail, Request: r.ID})
+		b.addAction(Action{Kind: Fail, Request: r.ID})
 	}
 	b.end(r)
 }
@@ -1124,40 +1157,41 @@
 	b.release(r)
 }
 
-// cancelOthers calls off what is in flight for the request but attempt keep.
+// cancelOthers cancels all attempts in flight of the request except attempt keep (-1: none).
 func (b *Balancer) cancelOthers(r *request, keep int) {
-	for i, a := range r.atts {
+	for i, a := range r.attempts {
 		if i != keep && !a.ended && b.set.Cancel {
-			b.act(Action{Kind: Cancel, Request: r.ID, Attempt: i})
+			b.addAction(Action{Kind: Cancel, Request: r.ID, Attempt: i})
 		}
 	}
 }
 
-// enqueue lets a request wait in its line, a repeat at the front, for a small share of its aim:
-// refused early, a client may yet be served in time, and what is sent has the rest left.
+// enqueue queues a request, at the front if it is a retry by the gateway, for a small fraction of its
+// aim: a client that is refused early may still be served elsewhere in time, and a request that is
+// sent has the rest of its aim left.
 func (b *Balancer) enqueue(r *request, front bool) {
-	r.expires = r.arrived + Time(waitShare*float64(r.class.Aim))
+	r.queueDeadline = r.arrived + Time(maxQueueShare*float64(r.class.Aim))
 	b.push(r, front)
 	b.sweepSoon()
 }
 
-// pump turns away what has waited too long and sends what waits, worth most first.
-func (b *Balancer) pump() {
-	for i := range b.bands {
-		for n := b.bands[i].head; n != nil && b.now >= n.item.expires; n = b.bands[i].head {
+// serveQueues refuses requests that have waited too long and sends queued ones, highest worth first.
+func (b *Balancer) serveQueues() {
+	for i := range b.queues {
+		for n := b.queues[i].head; n != nil && b.now >= n.item.queueDeadline; n = b.queues[i].head {
 			b.log(logRefuse, "refusing: hosts are full, %d requests wait", b.queued)
 			b.answer(n.item)
 		}
 	}
-	for i := 0; i < len(b.bands) && !b.serve(&b.bands[i]); i++ {
+	for i := 0; i < len(b.queues) && !b.serveQueue(&b.queues[i]); i++ {
 	}
 	b.sweepSoon()
 }
 
-// serve sends what waits in a line. A repeat bound to its group does not hold up
-// those behind it. It says whether no host is ready for a request sent nowhere yet.
-func (b *Balancer) serve(line *list[request]) (full bool) {
-	for n := line.head; n != nil; {
+// serveQueue sends the requests of one queue. A retry that is bound to its group of hosts does not block
+// those behind it. It reports whether no host is ready for a request that has not been sent yet.
+func (b *Balancer) serveQueue(queue *list[request]) (full bool) {
+	for n := queue.head; n != nil; {
 		r, next := n.item, n.next
 		if h := b.pick(r); h != nil {
 			b.dequeue(r)
@@ -1170,63 +1204,65 @@
 	return false
 }
 
-// patience is how long an attempt may take before its host counts as silent.
-func (b *Balancer) patience(r *request) Time {
-	if l := &b.lat[r.Class]; l.seen {
-		return Time(1e9 * (l.mean + patience*l.dev))
+// silenceTimeout returns how long an attempt may take before its host counts as silent.
+func (b *Balancer) silenceTimeout(r *request) Time {
+	if l := &b.classRTT[r.Class]; l.seen {
+		return Time(1e9 * (l.mean + silenceSigmas*l.dev))
 	}
 	return r.class.Aim / 2
 }
 
-// listen looks for silent hosts: those that have answered nothing since their oldest attempt
-// was sent, longer ago than such a request should take. They are ejected until they answer or
-// a trial does. It guards against hosts that take requests and answer none. What waits there
-// stays: most often it is answered yet, and sent again it costs more.
-func (b *Balancer) listen() {
-	b.outNow = 0
+// ejectSilent ejects silent hosts until they answer: those that have answered nothing since their oldest
+// attempt was sent, and for longer than such a request should take. It handles hosts that accept requests
+// and answer none. Requests in flight there stay: most of them are answered later, and a retry costs
+// more. It also recounts the attempts in flight.
+func (b *Balancer) ejectSilent() {
+	b.inFlight = 0
 	for _, h := range b.hosts {
-		b.outNow += h.pending
-		n := h.flight.head // the oldest
-		if n == nil || n.item.sent < h.heard || b.took(n.item, b.now-n.item.sent) < b.patience(n.item.req) {
+		b.inFlight += h.pending
+		n := h.inFlight.head // the oldest attempt
+		if n == nil || n.item.sent < h.answeredAt ||
+			b.countedTime(n.item, b.now-n.item.sent) < b.silenceTimeout(n.item.req) {
 			continue
 		}
 		b.eject(h, "silent")
 	}
 }
 
-// relieve gives up requests that are out past their aim and may be repeated, so that those
-// that wait find room. It guards against requests that cost many times the usual, each of which
-// holds a host until its deadline, as does the client's repeat. It acts while requests wait.
-func (b *Balancer) relieve() {
+// giveUpOverdue gives up requests that are in flight past their aim and may be repeated, to make room for
+// those that wait. It handles requests that cost many times the usual: each, and then its client retry,
+// would occupy a host until its deadline. It applies while requests wait and Settings.Cancel is set.
+func (b *Balancer) giveUpOverdue() {
 	if b.queued == 0 || !b.set.Cancel {
 		return
 	}
 	for _, h := range b.hosts {
-		for n := h.flight.head; n != nil; n = n.next {
+		for n := h.inFlight.head; n != nil; n = n.next {
 			r := n.item.req
-			if !r.done && !r.bound && r.class.Effect != Unsafe && b.now-r.arrived > r.class.Aim {
-				b.overdue(r)
+			if !r.done && !r.committed && r.class.Effect != Unsafe && b.now-r.arrived > r.class.Aim {
+				b.recordOverdue(r)
 				b.answer(r)
 			}
 		}
 	}
 }
 
+// sweepSoon schedules a check of queues and silent hosts, unless one is scheduled or there is no work.
 func (b *Balancer) sweepSoon() {
-	if b.sweepAt == 0 && (b.queued > 0 || b.outNow > 0) {
-		b.sweepAt = b.now + max(b.set.Step, Time(float64(b.aim)*sweepShare))
-		b.wake(b.sweepAt, tokenSweep<<tokenShift)
+	if b.sweepAt == 0 && (b.queued > 0 || b.inFlight > 0) {
+		b.sweepAt = b.now + max(b.set.Step, Time(float64(b.shortestAim)*sweepAims))
+		b.setTimer(b.sweepAt, tokenSweep<<tokenShift)
 	}
 }
 
-// watchIn asks discovery for changes after d.
+// watchIn schedules a watch of the host list after d.
 func (b *Balancer) watchIn(d Time) {
 	b.watchAt = b.now + d
-	b.wake(b.watchAt, tokenWatch<<tokenShift)
+	b.setTimer(b.watchAt, tokenWatch<<tokenShift)
 }
 
-// lostList asks again with a growing, jittered back-off; the old list stands.
-func (b *Balancer) lostList() {
+// hostListLost retries the watch with a growing, jittered back-off; the last list stays in use.
+func (b *Balancer) hostListLost() {
 	if b.watching || b.watchFails == 0 {
 		b.log(logLost, "host list lost, asking again")
 	}
@@ -1235,12 +1271,12 @@
 		return
 	}
 	d := float64(b.set.AskWithin) / 16 * float64(int(1)<<min(b.watchFails, 3))
-	d = min(d, askAgain*float64(1+min(b.watchFails, 1)))
+	d = min(d, listRetryDelay*float64(1+min(b.watchFails, 1)))
 	b.watchFails++
 	b.watchIn(Time(d * (0.5 + b.float())))
 }
 
-func (b *Balancer) foundList() {
+func (b *Balancer) hostListRegained() {
 	if b.watchFails > 0 {
 		b.log(logFound, "host list regained")
 	}
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -81,7 +81,7 @@
 	case wire.AttemptEnd:
 		b.Outcome(now, e.Outcome)
 	case wire.Withdrawn:
-		b.Gone(now, e.Request.ID)
+		b.ClientGone(now, e.Request.ID)
 	case wire.TimerFired:
 		b.Timer(now, e.Token)
 	case wire.Halt:
--- a/internal/exchange/call.go
+++ b/internal/exchange/call.go
@@ -243,7 +243,7 @@
 	p.outMore(a, 1)
 	a.handle = p.upstream.Start(a)
 	if c.Body != nil {
-		p.b.Feeding(now, c.id, a.n)
+		p.b.RequestBodyPending(now, c.id, a.n)
 		p.park(now, c)
 	}
 }
@@ -451,7 +451,7 @@
 // forget tells the balancer that nobody waits for a request any more.
 func (p *Pool) forget(now frostshift.Time, c *Call) {
 	if c.admitted {
-		p.b.Gone(now, c.id)
+		p.b.ClientGone(now, c.id)
 	}
 }
 
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -253,7 +253,7 @@
 func (p *Pool) PeerLoad(list []frostshift.PeerLoad) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		for _, k := range list {
-			p.b.Crowded(now, k)
+			p.b.PeerLoad(now, k)
 		}
 	}})
 }
@@ -288,8 +288,8 @@
 // ReportLoad has the loop say how it stands, to f in the loop; done is closed if it has ended.
 func (p *Pool) ReportLoad(f func(Load)) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
-		l := Load{Capacity: p.b.Capacity(now), Open: len(p.calls), Pace: p.b.Pace(now)}
-		l.Members, l.Away = p.b.Members(now)
+		l := Load{Capacity: p.b.Capacity(now), Open: len(p.calls), Pace: p.b.ColdSendRate(now)}
+		l.Members, l.Away = p.b.HostCounts(now)
 		for i := range p.set.Classes {
 			l.Ready = l.Ready || p.b.Usable(now, i)
 		}
--- a/memory.go
+++ b/memory.go
@@ -76,7 +76,7 @@
 // mean restores the mean. It returns an empty one for values that samples between -maxAbs and
 // maxAbs cannot produce.
 func (m EvidenceMemory) mean(now Time, maxAbs float64) evidence.Mean {
-	if !isLearnedValue(m.N) || !isLearnedValue(m.Sq) || m.N > heldMost || !(math.Abs(m.Sum) <= m.N*maxAbs) || m.Sq > m.N*maxAbs*maxAbs || m.Age < 0 {
+	if !isLearnedValue(m.N) || !isLearnedValue(m.Sq) || m.N > maxSampleWeight || !(math.Abs(m.Sum) <= m.N*maxAbs) || m.Sq > m.N*maxAbs*maxAbs || m.Age < 0 {
 		return evidence.Mean{}
 	}
 	return evidence.Mean{N: m.N, Sum: m.Sum, Sq: m.Sq, At: now - m.Age}
@@ -99,24 +99,24 @@
 
 // Memory returns the state learned up to now.
 func (b *Balancer) Memory(now Time) Memory {
-	m := Memory{Version: MemoryVersion, Admit: b.admit, Late: evidenceMemory(&b.late, now), Works: evidenceMemory(&b.works, now), Worth: b.worth.memory(now), Gap: b.gap.memory(now),
-		All: b.all.memory(now), Served: b.served, Warm: b.warm}
+	m := Memory{Version: MemoryVersion, Admit: b.admitted, Late: evidenceMemory(&b.relativeRTT, now), Works: evidenceMemory(&b.relativeTimes, now), Worth: b.meanWorth.memory(now), Gap: b.sampleGap.memory(now),
+		All: b.meanRTT.memory(now), Served: b.servedRate, Warm: b.warmHosts}
 	if b.servedAt > 0 {
 		m.ServedAge, m.ServedFor = now-b.servedAt, now-b.servedFrom
 	}
-	for i := range b.lat {
-		m.Classes = append(m.Classes, b.lat[i].memory(now))
+	for i := range b.classRTT {
+		m.Classes = append(m.Classes, b.classRTT[i].memory(now))
 	}
-	for i := range b.kinds {
-		m.Kinds = append(m.Kinds, evidenceMemory(&b.kinds[i], now))
+	for i := range b.kindTimes {
+		m.Kinds = append(m.Kinds, evidenceMemory(&b.kindTimes[i], now))
 	}
 	for id := range b.banned {
 		m.Banned = append(m.Banned, id)
 	}
 	for _, h := range b.hosts {
-		hm := HostMemory{ID: h.ID, Fresh: h.fresh, Faulty: h.faulty, Slow: evidenceMemory(&h.slow, now), RTT: h.rtt, Age: now - h.rttAt, Limit: h.limit, Lat: h.lat.memory(now), Fails: h.fails,
-			Down: h.down, Good: h.good, Out: max(0, h.ejectUntil-now), Cold: h.cold, ColdFor: now - h.coldAt, Started: h.Started, HeardAge: now - h.heard}
-		for _, owed := range b.owing {
+		hm := HostMemory{ID: h.ID, Fresh: h.unsampled, Faulty: h.penalized, Slow: evidenceMemory(&h.relativeTimes, now), RTT: h.rtt, Age: now - h.rttAt, Limit: h.limit, Lat: h.recentRTT.memory(now), Fails: h.ejections,
+			Down: h.down, Good: h.answersSinceError, Out: max(0, h.ejectUntil-now), Cold: h.cold, ColdFor: now - h.coldAt, Started: h.Started, HeardAge: now - h.answeredAt}
+		for _, owed := range b.reinstated {
 			hm.Owed = hm.Owed || owed == h
 		}
 		m.Hosts = append(m.Hosts, hm)
@@ -136,41 +136,41 @@
 		b.Ban(now, id, true)
 	}
 	if m.Admit > 0 && m.Admit <= 1 {
-		b.admit = m.Admit
+		b.admitted = m.Admit
 	}
-	b.late, b.works = m.Late.mean(now, 1), m.Works.mean(now, maxLogSlowdown)
-	b.worth, b.gap, b.all = m.Worth.mean(now), m.Gap.mean(now), m.All.mean(now)
-	for i := range m.Classes[:min(len(m.Classes), len(b.lat))] {
-		b.lat[i] = m.Classes[i].mean(now)
+	b.relativeRTT, b.relativeTimes = m.Late.mean(now, 1), m.Works.mean(now, maxLogSlowdown)
+	b.meanWorth, b.sampleGap, b.meanRTT = m.Worth.mean(now), m.Gap.mean(now), m.All.mean(now)
+	for i := range m.Classes[:min(len(m.Classes), len(b.classRTT))] {
+		b.classRTT[i] = m.Classes[i].mean(now)
 	}
-	for i := range m.Kinds[:min(len(m.Kinds), len(b.kinds))] {
-		b.kinds[i] = m.Kinds[i].mean(now, maxLogSlowdown)
+	for i := range m.Kinds[:min(len(m.Kinds), len(b.kindTimes))] {
+		b.kindTimes[i] = m.Kinds[i].mean(now, maxLogSlowdown)
 	}
 	if isLearnedValue(m.Served) && m.ServedFor > 0 && m.ServedAge >= 0 {
-		b.served, b.servedAt, b.servedFrom = m.Served, now-m.ServedAge, now-m.ServedFor
+		b.servedRate, b.servedAt, b.servedFrom = m.Served, now-m.ServedAge, now-m.ServedFor
 	}
 	for i := range m.Hosts {
 		hm := &m.Hosts[i]
 		h := b.byID[hm.ID]
-		if h == nil || h.Started != hm.Started || !isLearnedValue(hm.RTT) || !(hm.Limit >= limitLeast) || hm.Age < 0 || hm.ColdFor < 0 || hm.HeardAge < 0 || hm.Fails < 0 {
+		if h == nil || h.Started != hm.Started || !isLearnedValue(hm.RTT) || !(hm.Limit >= minHostLimit) || hm.Age < 0 || hm.ColdFor < 0 || hm.HeardAge < 0 || hm.Fails < 0 {
 			continue
 		}
-		h.fresh, h.rtt, h.rttAt, h.limit, h.lat = hm.Fresh, hm.RTT, now-hm.Age, hm.Limit, hm.Lat.mean(now)
-		h.fails, h.down, h.good, h.ejectUntil = hm.Fails, hm.Down, hm.Good, now+min(max(hm.Out, 0), time.Minute)
-		h.heard, h.faulty, h.slow = now-hm.HeardAge, hm.Faulty, hm.Slow.mean(now, maxLogSlowdown)
+		h.unsampled, h.rtt, h.rttAt, h.limit, h.recentRTT = hm.Fresh, hm.RTT, now-hm.Age, hm.Limit, hm.Lat.mean(now)
+		h.ejections, h.down, h.answersSinceError, h.ejectUntil = hm.Fails, hm.Down, hm.Good, now+min(max(hm.Out, 0), time.Minute)
+		h.answeredAt, h.penalized, h.relativeTimes = now-hm.HeardAge, hm.Faulty, hm.Slow.mean(now, maxLogSlowdown)
 		if h.cold = h.cold || hm.Cold; hm.Cold {
 			h.coldAt = now - hm.ColdFor
 		}
 		if hm.Owed {
-			b.owing = append(b.owing, h)
+			b.reinstated = append(b.reinstated, h)
 		}
 	}
-	b.layRing()
+	b.rebuildRing()
 }
 
 // Processes sets how many sibling processes (hot restart) form this one instance now: they
 // divide the instance's share of the budgets of cold hosts among them.
 func (b *Balancer) Processes(now Time, n int) {
 	b.now = now
-	b.twins = float64(max(1, n))
+	b.siblings = float64(max(1, n))
 }
--- a/standing.go
+++ b/standing.go
@@ -53,9 +53,9 @@
 // Status returns the current status.
 func (b *Balancer) Status(now Time) Status {
 	b.now = now
-	s := Status{Part: min(b.subset, len(b.ring)), Reach: min(b.reach, len(b.ring)), Sharers: b.sharers, Admitted: b.admit, Late: b.lateness(),
-		Answers: b.late.N, PressedAt: pressAims}
-	if s.Late < calmAims || b.sharers <= shedSharers {
+	s := Status{Part: min(b.subsetSize, len(b.ring)), Reach: min(b.reach, len(b.ring)), Sharers: b.sharers, Admitted: b.admitted, Late: b.lateness(),
+		Answers: b.relativeRTT.N, PressedAt: shedFromLateness}
+	if s.Late < shedUntilLateness || b.sharers <= shedAboveSharers {
 		s.Admitted = 1 // shedding is over: the next arrival resets the admitted share
 	}
 	positions := map[*host]int{}
@@ -66,19 +66,19 @@
 		if h.State == Removed {
 			continue
 		}
-		v := HostStatus{ID: h.ID, Pending: h.pending, Estimate: time.Duration(b.believed(h) * 1e9), Answers: h.slow.N, Out: max(0, h.ejectUntil-now)}
-		v.Unlike = evidence.Sure(h.slow.Apart(0, b.noise.Deviation(1, easyAnswers), 1), likeUpTo, sureFrom)
+		v := HostStatus{ID: h.ID, Pending: h.pending, Estimate: time.Duration(b.believedRTT(h) * 1e9), Answers: h.relativeTimes.N, Out: max(0, h.ejectUntil-now)}
+		v.Unlike = evidence.Sure(h.relativeTimes.Apart(0, b.noise.Deviation(1, priorAnswers), 1), equalUpTo, differentFrom)
 		position := positions[h]
 		switch {
 		case h.State != Ready:
 			v.Use = UseLeaving
-		case h.fails > 0 && now < h.ejectUntil:
+		case h.ejections > 0 && now < h.ejectUntil:
 			v.Use = UseEjected
 		case h.Backup:
 			v.Use = UseBackup
-		case position == 0 || position > s.Reach || h.cold && !h.mine:
+		case position == 0 || position > s.Reach || h.cold && !h.usableCold:
 			v.Use = UseBeyond
-		case b.coldHold(h):
+		case b.coldBlocked(h):
 			v.Use = UseCold
 		case b.atLimit(h):
 			v.Use = UseFull
