--- a/internal/contract/dispatch.go
+++ b/internal/contract/dispatch.go
@@ -5,7 +5,7 @@
 )
 
 // dispatch counts a request as in flight and advances its team's tags.
-func (s *Scheduler) dispatch(q *teamQueue, it *Item) {
+func (s *Scheduler) dispatch(q *queue, it *Item) {
 	s.virtualTime = max(s.virtualTime, q.startTag)
 	q.finishTag = q.startTag + it.cost/q.weight
 	q.startTag = q.finishTag
@@ -36,7 +36,7 @@
 // Next returns the request to send next, or nil if none that waits may be sent now.
 func (s *Scheduler) Next(now Time) *Item {
 	s.advanceClock(now)
-	var q *teamQueue
+	var q *queue
 	if s.hasRoom() && len(s.ready.list) > 0 {
 		q = s.ready.list[0]
 	} else if q = s.nextOwed(); q == nil {
@@ -59,17 +59,17 @@
 // allows, in whole attempts and at their present duration. Such attempts are sent whoever uses the
 // capacity here: a gateway that gets most of a team's requests has no larger share of the hosts than
 // the others, and all gateways together owe no more than the contract states.
-func (s *Scheduler) owed(q *teamQueue) bool {
+func (s *Scheduler) owed(q *queue) bool {
 	return q.limitShare != nil && !s.atCeiling(q) && float64(q.inFlight)+1 <= s.owedAttempts(q)
 }
 
 // owedAttempts returns how many attempts a team's share of its limits allows, at their present duration.
-func (s *Scheduler) owedAttempts(q *teamQueue) float64 {
+func (s *Scheduler) owedAttempts(q *queue) float64 {
 	return q.limitShare.Part(s.now) * q.terms.Absolute() * s.congestion.slowdown()
 }
 
 // addOwedCandidate makes nextOwed examine a queue if it is owed an attempt.
-func (s *Scheduler) addOwedCandidate(q *teamQueue) {
+func (s *Scheduler) addOwedCandidate(q *queue) {
 	if !q.isOwedCandidate && len(q.items.list) > 0 && s.owed(q) {
 		q.isOwedCandidate = true
 		s.owedCandidates = append(s.owedCandidates, q)
@@ -77,7 +77,7 @@
 }
 
 // nextOwed returns a queue that is owed an attempt and has a request waiting, or nil.
-func (s *Scheduler) nextOwed() *teamQueue {
+func (s *Scheduler) nextOwed() *queue {
 	for len(s.owedCandidates) > 0 {
 		q := s.owedCandidates[0]
 		s.owedCandidates[0] = nil
@@ -92,7 +92,7 @@
 
 // removeWaiting removes a waiting request from its queue and from the expiry heap. The queue must
 // not be in the ready heap, or must keep its position in it.
-func (s *Scheduler) removeWaiting(q *teamQueue, it *Item) {
+func (s *Scheduler) removeWaiting(q *queue, it *Item) {
 	q.items.remove(it)
 	s.waiting.remove(it)
 	q.waitingWork = max(0, q.waitingWork-it.cost)
@@ -158,7 +158,7 @@
 }
 
 // settleCost corrects the charge of a request from its estimated to its actual cost.
-func (s *Scheduler) settleCost(q *teamQueue, it *Item, work float64, cut bool) {
+func (s *Scheduler) settleCost(q *queue, it *Item, work float64, cut bool) {
 	s.adjustTags(q, (max(work, minCost)-it.cost)/q.weight)
 	if !cut || work > it.cost {
 		s.recordCost(q, it, work)
@@ -173,7 +173,7 @@
 
 // adjustTags advances a queue's tags by cost that was not charged, and back if diff is negative. diff
 // is in seconds of the team's guarantee.
-func (s *Scheduler) adjustTags(q *teamQueue, diff float64) {
+func (s *Scheduler) adjustTags(q *queue, diff float64) {
 	q.finishTag = min(q.finishTag+diff, max(s.virtualTime+maxDebt, q.finishTag))
 	if len(q.items.list) > 0 {
 		q.startTag = min(q.startTag+diff, max(s.virtualTime+maxDebt, q.startTag))
@@ -217,7 +217,7 @@
 	if it.queue == nil || work <= 0 {
 		return
 	}
-	q := s.queueFor(it.Terms)
+	q := s.queue(it.Terms)
 	s.adjustTags(q, work.Seconds()/q.weight)
 	if it.Account != nil {
 		it.Account.Work.Add(int64(work))
--- a/internal/contract/estimate.go
+++ b/internal/contract/estimate.go
@@ -22,11 +22,11 @@
 	samples    int
 }
 
-// congestion reduces the capacity that a pool is given below what its balancer allows, while requests
+// congestionControl reduces the capacity that a pool is given below what its balancer allows, while requests
 // take much longer than without queueing at hosts (as in TCP Vegas: Brakmo and Peterson 1995).
 // Queueing at hosts makes the costs of all requests look alike: 10 ms of work behind 100 ms of other
 // work would cost 110 ms, and a team would pay for the queue of the others.
-type congestion struct {
+type congestionControl struct {
 	actual, baseline float64 // recent requests, in seconds: actual cost, and baseline cost
 	heldBack         float64 // fraction of the capacity that is held back
 	lastUpdate       Time
@@ -47,7 +47,7 @@
 )
 
 // sample records the cost of a request.
-func (c *congestion) sample(now Time, g *costEstimate, work float64) {
+func (c *congestionControl) sample(now Time, g *costEstimate, work float64) {
 	if g.samples == 0 {
 		g.slowMean = work
 	}
@@ -65,7 +65,7 @@
 
 // workFraction returns the fraction of the cost of a class of the team that is work, and not waiting
 // at hosts. Contracts state work, and gateways whose requests wait longer must not report more demand.
-func (q *teamQueue) workFraction(class int) float64 {
+func (q *queue) workFraction(class int) float64 {
 	if class >= len(q.classCosts) || q.classCosts[class].baseline == 0 {
 		return 1
 	}
@@ -74,7 +74,7 @@
 }
 
 // slowdown returns the ratio of the present cost of requests to their baseline, from 1 to maxSlowdown.
-func (c *congestion) slowdown() float64 {
+func (c *congestionControl) slowdown() float64 {
 	if c.baseline == 0 {
 		return 1
 	}
@@ -82,7 +82,7 @@
 }
 
 // usableShare returns the fraction of the capacity that may be used, and adjusts it once an interval.
-func (c *congestion) usableShare(now Time) float64 {
+func (c *congestionControl) usableShare(now Time) float64 {
 	if now-c.lastUpdate >= congestionInterval && c.baseline > 0 {
 		c.lastUpdate = now
 		usable := 1 - c.heldBack
@@ -178,7 +178,7 @@
 }
 
 // estimateCost returns the expected cost of a request of the queue's team, in seconds.
-func (s *Scheduler) estimateCost(q *teamQueue, it *Item) float64 {
+func (s *Scheduler) estimateCost(q *queue, it *Item) float64 {
 	if cost, ok := s.costs.costOfKey(it.Key); ok {
 		return max(cost, minCost)
 	}
@@ -192,7 +192,7 @@
 }
 
 // recordCost records what a request has cost, in seconds.
-func (s *Scheduler) recordCost(q *teamQueue, it *Item, work float64) {
+func (s *Scheduler) recordCost(q *queue, it *Item, work float64) {
 	s.costs.learnClass(it.Class, work)
 	for len(q.classCosts) <= it.Class {
 		q.classCosts = append(q.classCosts, costEstimate{})
@@ -207,7 +207,7 @@
 // requests are at fault: counted against hosts, these errors would cost all teams all hosts.
 func (s *Scheduler) CountsAgainstHost(it *Item) bool {
 	q := it.queue
-	return !(q.answers >= minBlameAnswers && q.errors > blameOwnErrorRate*q.answers && s.answers-q.answers >= minBlameAnswers && s.errors-q.errors < blameOthersErrorRate*(s.answers-q.answers))
+	return !(q.answers >= minBlameAnswers && q.failed > blameOwnErrorRate*q.answers && s.answers-q.answers >= minBlameAnswers && s.failed-q.failed < blameOthersErrorRate*(s.answers-q.answers))
 }
 
 // RecordResult counts an answer of a host for CountsAgainstHost. Counts are halved regularly, so that
@@ -217,13 +217,13 @@
 	q.answers++
 	s.answers++
 	if failed {
-		q.errors++
-		s.errors++
+		q.failed++
+		s.failed++
 	}
 	if s.answers > blameDecayAfter {
-		s.answers, s.errors = s.answers/2, s.errors/2
+		s.answers, s.failed = s.answers/2, s.failed/2
 		for _, q := range s.queues {
-			q.answers, q.errors = q.answers/2, q.errors/2
+			q.answers, q.failed = q.answers/2, q.failed/2
 		}
 	}
 }
--- a/internal/contract/heaps.go
+++ b/internal/contract/heaps.go
@@ -34,7 +34,7 @@
 }
 
 // queueHeap holds team queues, the lowest start tag first.
-type queueHeap struct{ list []*teamQueue }
+type queueHeap struct{ list []*queue }
 
 func (h *queueHeap) less(i, j int) bool {
 	x, y := h.list[i], h.list[j]
@@ -46,18 +46,18 @@
 	h.list[i].readyIndex, h.list[j].readyIndex = i, j
 }
 
-func (h *queueHeap) push(q *teamQueue) {
+func (h *queueHeap) push(q *queue) {
 	q.readyIndex = len(h.list)
 	h.list = append(h.list, q)
 	up(q.readyIndex, h.less, h.swap)
 }
 
-func (h *queueHeap) fix(q *teamQueue) {
+func (h *queueHeap) fix(q *queue) {
 	down(q.readyIndex, len(h.list), h.less, h.swap)
 	up(q.readyIndex, h.less, h.swap)
 }
 
-func (h *queueHeap) remove(q *teamQueue) {
+func (h *queueHeap) remove(q *queue) {
 	i, last := q.readyIndex, len(h.list)-1
 	if i != last {
 		h.swap(i, last)
--- a/internal/contract/scheduler.go
+++ b/internal/contract/scheduler.go
@@ -17,7 +17,7 @@
 	Aim      Time   // time after which an answer is worth little; 0 means the deadline
 	Owner    any    // for use by the caller
 
-	queue         *teamQueue
+	queue         *queue
 	cost          float64 // seconds, estimated
 	sendBy        Time    // latest time to send it
 	seq           uint64
@@ -59,28 +59,28 @@
 	now             Time
 	capacity        float64 // attempts that the pool may have in flight, after congestion control
 	learnedCapacity float64 // the same before congestion control, as learned by its balancer
-	congestion      congestion
+	congestion      congestionControl
 	share           float64 // this gateway's share of absolute limits
 	limitShares     func(*Terms) LimitShare
 	virtualTime     float64 // in seconds of a guarantee
 	inFlight        int
 	seq             uint64
-	queues          map[string]*teamQueue
-	queuesByIndex   []*teamQueue // the same queues, by index of the contract in the registry
-	ready           queueHeap    // queues with waiting requests that may be sent
-	blocked         []*teamQueue // queues with waiting requests, at their ceiling
-	owedCandidates  []*teamQueue // queues with waiting requests that may be owed an attempt
-	waiting         expiryHeap   // all waiting requests, by the latest time to send them
-	waitingWeight   float64      // sum of the weights of queues with waiting requests
+	queues          map[string]*queue
+	queuesByIndex   []*queue   // the same queues, by index of the contract in the registry
+	ready           queueHeap  // queues with waiting requests that may be sent
+	blocked         []*queue   // queues with waiting requests, at their ceiling
+	owedCandidates  []*queue   // queues with waiting requests that may be owed an attempt
+	waiting         expiryHeap // all waiting requests, by the latest time to send them
+	waitingWeight   float64    // sum of the weights of queues with waiting requests
 	costs           Costs
 	answers         float64 // recent answers, over all teams
-	errors          float64
+	failed          float64
 	sweepIndex      int
 	teamNames       []string // of queues, in the order of the idle check
 }
 
-// teamQueue is the state of one team in a scheduler, with its waiting requests.
-type teamQueue struct {
+// queue is the state of one team in a scheduler, with its waiting requests.
+type queue struct {
 	team            string
 	terms           *Terms
 	limitShare      LimitShare // nil: Scheduler.share applies
@@ -93,7 +93,7 @@
 	inFlight        int
 	classCosts      []costEstimate
 	answers         float64 // recent answers
-	errors          float64 // error answers among them
+	failed          float64 // error answers among them
 	readyIndex      int     // index in the ready heap; -1 means not in it
 	isOwedCandidate bool
 	isBlocked       bool
@@ -112,7 +112,7 @@
 // NewScheduler returns a scheduler for a pool. share is this gateway's share of the limits that
 // contracts state for all gateways together, from 0 to 1; see FleetShare.
 func NewScheduler(share float64) *Scheduler {
-	return &Scheduler{capacity: 1, share: share, queues: map[string]*teamQueue{}}
+	return &Scheduler{capacity: 1, share: share, queues: map[string]*queue{}}
 }
 
 // SetShare sets this gateway's share of absolute limits.
@@ -143,7 +143,7 @@
 
 // atCeiling reports whether a team has as many attempts in flight as its ceiling allows, rounded up
 // to whole attempts.
-func (s *Scheduler) atCeiling(q *teamQueue) bool {
+func (s *Scheduler) atCeiling(q *queue) bool {
 	c := q.terms.ceiling()
 	return c < 1 && float64(q.inFlight) >= math.Ceil(c*s.capacity-1e-9)
 }
@@ -151,7 +151,7 @@
 // Arrive decides on a new request. With Refuse it also returns the time after which to retry.
 func (s *Scheduler) Arrive(now Time, it *Item) (Turn, time.Duration) {
 	s.advanceClock(now)
-	q := s.queueFor(it.Terms)
+	q := s.queue(it.Terms)
 	it.queue = q
 	s.updateWeight(q)
 	it.cost = s.estimateCost(q, it)
@@ -206,7 +206,7 @@
 )
 
 // expectedWait returns the seconds that the team's waiting requests take at its present share of the pool.
-func (s *Scheduler) expectedWait(q *teamQueue) float64 {
+func (s *Scheduler) expectedWait(q *queue) float64 {
 	all := s.waitingWeight
 	if len(q.items.list) == 0 {
 		all += q.weight
@@ -220,12 +220,12 @@
 }
 
 // retryAfter returns the expected time until a team's waiting requests have been sent.
-func (s *Scheduler) retryAfter(q *teamQueue) time.Duration {
+func (s *Scheduler) retryAfter(q *queue) time.Duration {
 	return min(max(seconds(s.expectedWait(q)), minRetryAfter), maxRetryAfter)
 }
 
 // updateWeight recomputes a queue's weight from its contract and the present capacity.
-func (s *Scheduler) updateWeight(q *teamQueue) {
+func (s *Scheduler) updateWeight(q *queue) {
 	share := s.share
 	if q.limitShare != nil {
 		share = q.limitShare.Part(s.now)
@@ -238,13 +238,13 @@
 }
 
 // setStartTag sets the start tag of a queue that had nothing waiting.
-func (s *Scheduler) setStartTag(q *teamQueue) {
+func (s *Scheduler) setStartTag(q *queue) {
 	q.startTag = max(s.virtualTime-q.terms.Burst.Seconds(), q.finishTag)
 }
 
 // makeReady adds a queue with waiting requests to the ready heap, or to the blocked ones if it is at
 // its ceiling.
-func (s *Scheduler) makeReady(q *teamQueue) {
+func (s *Scheduler) makeReady(q *queue) {
 	if s.atCeiling(q) {
 		if !q.isBlocked {
 			q.isBlocked = true
@@ -256,16 +256,16 @@
 }
 
 // pushReady adds a queue to the ready heap, unless it is in it.
-func (s *Scheduler) pushReady(q *teamQueue) {
+func (s *Scheduler) pushReady(q *queue) {
 	if q.readyIndex < 0 {
 		q.tieBreak = q.items.list[0].seq
 		s.ready.push(q)
 	}
 }
 
-// queueFor returns a team's queue and creates it if needed. A dropped queue had nothing saved up that
+// queue returns a team's queue and creates it if needed. A dropped queue had nothing saved up that
 // a new one lacks, and owed nothing.
-func (s *Scheduler) queueFor(t *Terms) *teamQueue {
+func (s *Scheduler) queue(t *Terms) *queue {
 	if t.index < len(s.queuesByIndex) {
 		if q := s.queuesByIndex[t.index]; q != nil && q.terms == t {
 			q.lastUsed = s.now
@@ -274,7 +274,7 @@
 	}
 	q := s.queues[t.Team]
 	if q == nil {
-		q = &teamQueue{team: t.Team, readyIndex: -1, finishTag: math.Inf(-1)}
+		q = &queue{team: t.Team, readyIndex: -1, finishTag: math.Inf(-1)}
 		s.queues[t.Team] = q
 		s.teamNames = append(s.teamNames, t.Team)
 	}
--- a/internal/contract/scheduler_test.go
+++ b/internal/contract/scheduler_test.go
@@ -210,8 +210,8 @@
 		for _, o := range order {
 			for from := start + window; from+window <= start+3*window; from += window / 4 {
 				want := min(o.terms.Share, o.terms.ceiling()) * capacity * window.Seconds()
-				if got := o.workDone(from, from+window).Seconds(); got < 0.8*want-6*longest.Seconds() {
-					t.Fatalf("%s with a share of %v of %v got %.3f of %.3f s of work in %v", o.terms.Team, o.terms.Share, capacity, got, want, window)
+				if workDone := o.workDone(from, from+window).Seconds(); workDone < 0.8*want-6*longest.Seconds() {
+					t.Fatalf("%s with a share of %v of %v got %.3f of %.3f s of work in %v", o.terms.Team, o.terms.Share, capacity, workDone, want, window)
 				}
 			}
 		}
@@ -219,8 +219,8 @@
 			o.to = p.now
 		}
 		p.run(p.now+Time(time.Hour/100), order)
-		if out, waiting, _ := p.s.Counts(); out != 0 || waiting != 0 || p.s.waitingWeight != 0 {
-			t.Fatalf("%d in flight, %d wait, weights of %v in the end", out, waiting, p.s.waitingWeight)
+		if inFlight, waiting, _ := p.s.Counts(); inFlight != 0 || waiting != 0 || p.s.waitingWeight != 0 {
+			t.Fatalf("%d in flight, %d wait, weights of %v in the end", inFlight, waiting, p.s.waitingWeight)
 		}
 	})
 }
@@ -244,8 +244,8 @@
 			t.Errorf("beside requests of %v: waited %v, at worst %v; %d refused", flood, mean, worst, quiet.refused)
 		}
 		// The flood gets all the rest: the scheduler is work-conserving.
-		if got := flooder.workDone(p.now-Time(10*time.Second), p.now).Seconds(); got < 0.75*8*10 {
-			t.Errorf("the flood of %v got %.1f of 80 s of work", flood, got)
+		if workDone := flooder.workDone(p.now-Time(10*time.Second), p.now).Seconds(); workDone < 0.75*8*10 {
+			t.Errorf("the flood of %v got %.1f of 80 s of work", flood, workDone)
 		}
 	}
 }
@@ -308,8 +308,8 @@
 		all := (a.workDone(b.from, p.now) + b.workDone(b.from, p.now)).Seconds()
 		// Its half of five seconds, and half of the saved burst, as both teams' tags advance.
 		want := all/2 + 8*0.5*burst.Seconds()/2
-		if got := b.workDone(b.from, p.now).Seconds(); got > want*1.1+0.2 || got < want*0.85 {
-			t.Errorf("burst of %v: got %.2f s of %.2f after a minute idle, want about %.2f", burst, got, all, want)
+		if workDone := b.workDone(b.from, p.now).Seconds(); workDone > want*1.1+0.2 || workDone < want*0.85 {
+			t.Errorf("burst of %v: got %.2f s of %.2f after a minute idle, want about %.2f", burst, workDone, all, want)
 		}
 	}
 }
@@ -325,8 +325,8 @@
 		}
 	}
 	// 5 slots for 5 s at 10 ms: the refusals cost no work.
-	if got := a.workDone(0, p.now).Seconds(); got < 0.9*4*5 || a.refused == 0 {
-		t.Errorf("%.1f s of work, %d refused", got, a.refused)
+	if workDone := a.workDone(0, p.now).Seconds(); workDone < 0.9*4*5 || a.refused == 0 {
+		t.Errorf("%.1f s of work, %d refused", workDone, a.refused)
 	}
 	it := &Item{Terms: a.terms, Deadline: p.now - 1}
 	if turn, after := p.s.Arrive(p.now, it); turn != Refuse || after <= 0 {
