--- a/internal/contract/contract.go
+++ b/internal/contract/contract.go
@@ -51,8 +51,8 @@
 	Burst       time.Duration // of its guarantee that an idle team may save up
 	Ceiling     float64       // fraction of a pool's capacity that the team never exceeds; 0 means 1
 	RetryRatio  float64       // client retries and further attempts per first request
-	// SplitEvenly says that Rate and Concurrency are divided evenly among gateways, even where gateways
-	// could share them by demand. Otherwise Mode says what is given up when links between gateways fail.
+	// SplitEvenly says that Rate and Concurrency are divided evenly among gateways, also where they
+	// could be shared by demand. Otherwise Mode says what is given up when links between gateways fail.
 	SplitEvenly bool
 	Mode        quota.Mode
 
--- a/internal/contract/estimate.go
+++ b/internal/contract/estimate.go
@@ -16,16 +16,16 @@
 type costEstimate struct {
 	mean       float64
 	sampled    bool
-	slowMean   float64 // the same mean over more samples
+	slowMean   float64 // slower moving average of the same samples
 	baseline   float64 // lowest slowMean, drifting up: the cost without queueing at hosts
 	lastSample Time    // time of the last sample that updated baseline
 	samples    int
 }
 
-// congestionControl reduces the capacity that a pool is given below what its balancer allows, while requests
-// take much longer than without queueing at hosts (as in TCP Vegas: Brakmo and Peterson 1995).
-// Queueing at hosts makes the costs of all requests look alike: 10 ms of work behind 100 ms of other
-// work would cost 110 ms, and a team would pay for the queue of the others.
+// congestionControl gives a pool less than the capacity that its balancer allows, while requests take
+// much longer than without queueing at hosts (as in TCP Vegas: Brakmo and Peterson 1995). Queueing
+// at hosts makes the costs of all requests look alike: 10 ms of work behind 100 ms of other work
+// would cost 110 ms, and a team would pay for the queue of the others.
 type congestionControl struct {
 	actual, baseline float64 // recent requests, in seconds: actual cost, and baseline cost
 	heldBack         float64 // fraction of the capacity that is held back
@@ -47,20 +47,20 @@
 )
 
 // sample records the cost of a request.
-func (c *congestionControl) sample(now Time, g *costEstimate, work float64) {
-	if g.samples == 0 {
-		g.slowMean = work
+func (c *congestionControl) sample(now Time, e *costEstimate, work float64) {
+	if e.samples == 0 {
+		e.slowMean = work
 	}
-	g.slowMean += max(slowSampleWeight, 1/float64(g.samples+1)) * (work - g.slowMean)
-	if g.samples++; g.samples < minBaselineSamples {
+	e.slowMean += max(slowSampleWeight, 1/float64(e.samples+1)) * (work - e.slowMean)
+	if e.samples++; e.samples < minBaselineSamples {
 		return
 	}
-	g.baseline *= 1 + baselineDrift*min((now-g.lastSample).Seconds(), 1)
-	if g.lastSample = now; g.baseline == 0 || g.slowMean < g.baseline {
-		g.baseline = g.slowMean
+	e.baseline *= 1 + baselineDrift*min((now-e.lastSample).Seconds(), 1)
+	if e.lastSample = now; e.baseline == 0 || e.slowMean < e.baseline {
+		e.baseline = e.slowMean
 	}
 	c.actual = c.actual*congestionDecay + work
-	c.baseline = c.baseline*congestionDecay + g.baseline
+	c.baseline = c.baseline*congestionDecay + e.baseline
 }
 
 // workFraction returns the fraction of the cost of a class of the team that is work, and not waiting
@@ -81,7 +81,8 @@
 	return min(max(c.actual/c.baseline, 1), maxSlowdown)
 }
 
-// usableShare returns the fraction of the capacity that may be used, and adjusts it once an interval.
+// usableShare returns the fraction of the capacity that may be used. It adjusts the fraction at most
+// once per congestionInterval.
 func (c *congestionControl) usableShare(now Time) float64 {
 	if now-c.lastUpdate >= congestionInterval && c.baseline > 0 {
 		c.lastUpdate = now
@@ -97,12 +98,12 @@
 	return 1 - c.heldBack
 }
 
-func (g *costEstimate) add(x float64) {
-	if !g.sampled {
-		g.mean, g.sampled = x, true
+func (e *costEstimate) add(x float64) {
+	if !e.sampled {
+		e.mean, e.sampled = x, true
 		return
 	}
-	g.mean += sampleWeight * (x - g.mean)
+	e.mean += sampleWeight * (x - e.mean)
 }
 
 // keySlot remembers the cost of one key; another key that maps to the slot may replace it.
