--- a/internal/contract/fleetshare.go
+++ b/internal/contract/fleetshare.go
@@ -37,7 +37,7 @@
 // fraction of the even share.
 func (f *FleetShare) SetInstances(instances int) { f.instances = float64(max(instances, 1)) }
 
-// Update adjusts the share. wanted says whether requests wait here; short says whether the hosts are
+// Update adjusts the share. wanted says whether there is demand here; short says whether the hosts are
 // at capacity, that is, have as much in flight as they can answer in time.
 func (f *FleetShare) Update(now Time, wanted, short bool) {
 	dt := (now - f.updatedAt).Seconds()
