--- a/internal/contract/estimate.go
+++ b/internal/contract/estimate.go
@@ -16,17 +16,17 @@
 type costEstimate struct {
 	mean       float64
 	sampled    bool
-	slowMean   float64 // the same mean over more samples
+	slowMean   float64 // slower moving average of the same samples
 	baseline   float64 // lowest slowMean, drifting up: the cost without queueing at hosts
 	lastSample Time    // time of the last sample that updated baseline
 	samples    int
 }
 
-// congestion reduces the capacity that a pool is given below what its balancer allows, while requests
-// take much longer than without queueing at hosts (as in TCP Vegas: Brakmo and Peterson 1995).
-// Queueing at hosts makes the costs of all requests look alike: 10 ms of work behind 100 ms of other
-// work would cost 110 ms, and a team would pay for the queue of the others.
-type congestion struct {
+// congestionControl gives a pool less than the capacity that its balancer allows, while requests take
+// much longer than without queueing at hosts (as in TCP Vegas: Brakmo and Peterson 1995). Queueing
+// at hosts makes the costs of all requests look alike: 10 ms of work behind 100 ms of other work
+// would cost 110 ms, and a team would pay for the queue of the others.
+type congestionControl struct {
 	actual, baseline float64 // recent requests, in seconds: actual cost, and baseline cost
 	heldBack         float64 // fraction of the capacity that is held back
 	lastUpdate       Time
@@ -47,25 +47,25 @@
 )
 
 // sample records the cost of a request.
-func (c *congestion) sample(now Time, g *costEstimate, work float64) {
-	if g.samples == 0 {
-		g.slowMean = work
+func (c *congestionControl) sample(now Time, e *costEstimate, work float64) {
+	if e.samples == 0 {
+		e.slowMean = work
 	}
-	g.slowMean += max(slowSampleWeight, 1/float64(g.samples+1)) * (work - g.slowMean)
-	if g.samples++; g.samples < minBaselineSamples {
+	e.slowMean += max(slowSampleWeight, 1/float64(e.samples+1)) * (work - e.slowMean)
+	if e.samples++; e.samples < minBaselineSamples {
 		return
 	}
-	g.baseline *= 1 + baselineDrift*min((now-g.lastSample).Seconds(), 1)
-	if g.lastSample = now; g.baseline == 0 || g.slowMean < g.baseline {
-		g.baseline = g.slowMean
+	e.baseline *= 1 + baselineDrift*min((now-e.lastSample).Seconds(), 1)
+	if e.lastSample = now; e.baseline == 0 || e.slowMean < e.baseline {
+		e.baseline = e.slowMean
 	}
 	c.actual = c.actual*congestionDecay + work
-	c.baseline = c.baseline*congestionDecay + g.baseline
+	c.baseline = c.baseline*congestionDecay + e.baseline
 }
 
 // workFraction returns the fraction of the cost of a class of the team that is work, and not waiting
 // at hosts. Contracts state work, and gateways whose requests wait longer must not report more demand.
-func (q *teamQueue) workFraction(class int) float64 {
+func (q *queue) workFraction(class int) float64 {
 	if class >= len(q.classCosts) || q.classCosts[class].baseline == 0 {
 		return 1
 	}
@@ -74,15 +74,16 @@
 }
 
 // slowdown returns the ratio of the present cost of requests to their baseline, from 1 to maxSlowdown.
-func (c *congestion) slowdown() float64 {
+func (c *congestionControl) slowdown() float64 {
 	if c.baseline == 0 {
 		return 1
 	}
 	return min(max(c.actual/c.baseline, 1), maxSlowdown)
 }
 
-// usableShare returns the fraction of the capacity that may be used, and adjusts it once an interval.
-func (c *congestion) usableShare(now Time) float64 {
+// usableShare returns the fraction of the capacity that may be used. It adjusts the fraction at most
+// once per congestionInterval.
+func (c *congestionControl) usableShare(now Time) float64 {
 	if now-c.lastUpdate >= congestionInterval && c.baseline > 0 {
 		c.lastUpdate = now
 		usable := 1 - c.heldBack
@@ -97,12 +98,12 @@
 	return 1 - c.heldBack
 }
 
-func (g *costEstimate) add(x float64) {
-	if !g.sampled {
-		g.mean, g.sampled = x, true
+func (e *costEstimate) add(x float64) {
+	if !e.sampled {
+		e.mean, e.sampled = x, true
 		return
 	}
-	g.mean += sampleWeight * (x - g.mean)
+	e.mean += sampleWeight * (x - e.mean)
 }
 
 // keySlot remembers the cost of one key; another key that maps to the slot may replace it.
@@ -178,7 +179,7 @@
 }
 
 // estimateCost returns the expected cost of a request of the queue's team, in seconds.
-func (s *Scheduler) estimateCost(q *teamQueue, it *Item) float64 {
+func (s *Scheduler) estimateCost(q *queue, it *Item) float64 {
 	if cost, ok := s.costs.costOfKey(it.Key); ok {
 		return max(cost, minCost)
 	}
@@ -192,7 +193,7 @@
 }
 
 // recordCost records what a request has cost, in seconds.
-func (s *Scheduler) recordCost(q *teamQueue, it *Item, work float64) {
+func (s *Scheduler) recordCost(q *queue, it *Item, work float64) {
 	s.costs.learnClass(it.Class, work)
 	for len(q.classCosts) <= it.Class {
 		q.classCosts = append(q.classCosts, costEstimate{})
@@ -207,7 +208,7 @@
 // requests are at fault: counted against hosts, these errors would cost all teams all hosts.
 func (s *Scheduler) CountsAgainstHost(it *Item) bool {
 	q := it.queue
-	return !(q.answers >= minBlameAnswers && q.errors > blameOwnErrorRate*q.answers && s.answers-q.answers >= minBlameAnswers && s.errors-q.errors < blameOthersErrorRate*(s.answers-q.answers))
+	return !(q.answers >= minBlameAnswers && q.failed > blameOwnErrorRate*q.answers && s.answers-q.answers >= minBlameAnswers && s.failed-q.failed < blameOthersErrorRate*(s.answers-q.answers))
 }
 
 // RecordResult counts an answer of a host for CountsAgainstHost. Counts are halved regularly, so that
@@ -217,13 +218,13 @@
 	q.answers++
 	s.answers++
 	if failed {
-		q.errors++
-		s.errors++
+		q.failed++
+		s.failed++
 	}
 	if s.answers > blameDecayAfter {
-		s.answers, s.errors = s.answers/2, s.errors/2
+		s.answers, s.failed = s.answers/2, s.failed/2
 		for _, q := range s.queues {
-			q.answers, q.errors = q.answers/2, q.errors/2
+			q.answers, q.failed = q.answers/2, q.failed/2
 		}
 	}
 }
