--- a/internal/exchange/call.go
+++ b/internal/exchange/call.go
@@ -11,42 +11,43 @@
 	"frostshift/internal/verdict"
 )
 
-// Call is a request that is owed one final answer. But for Reply, Gone and what is said
-// at the fields, it belongs to the loop of the pool that it is in.
+// Call is a request that awaits one final answer. Except for Reply, Gone and where the fields state
+// otherwise, it belongs to the loop of the pool that it is in.
 type Call struct {
 	Request
-	// Reply gets the one final answer. It holds one, so that no loop waits for a client.
+	// Reply receives the one final answer. It has a buffer of one, so that no loop waits for a
+	// client.
 	Reply chan Reply
 
-	x        *Exchange
-	pool     atomic.Pointer[Pool] // changed only by the loop that it leaves
-	departed atomic.Bool          // its client has left
-	fallback *Pool                // nil: none, or it has been handed on
-	id       frostshift.RequestID
-	attempts []*Attempt    // at this pool
-	out      int           // attempts without an outcome yet
-	spent    int           // attempts at the pool before
-	mayRan   bool          // an attempt that has ended may have run
-	admitted bool          // the balancer has it
-	work     time.Duration // of attempts that have ended, at this pool
-	cut      bool          // one of them was cut short
-	kept     Answer        // the last that a better one may replace; nil: none
-	why      Why           // what became of the last attempt
-	closed   bool          // it has its answer, or nobody waits for one
-	headWork time.Duration // work up to the head of an answer whose body flows
-	over     bool          // and it holds nothing any more
-	fault    bool          // the last answer was an error of the service
+	x             *Exchange
+	pool          atomic.Pointer[Pool] // changed only by the loop of the pool that the call leaves
+	departed      atomic.Bool          // the client has left
+	fallback      *Pool                // nil if there is none, or if the call was passed to it already
+	id            frostshift.RequestID
+	attempts      []*Attempt    // at this pool
+	running       int           // attempts without an outcome yet
+	priorAttempts int           // attempts at the previous pool
+	mayRan        bool          // an attempt that has ended may have run
+	admitted      bool          // the call was given to the balancer
+	work          time.Duration // time of the attempts that have ended, at this pool
+	interrupted   bool          // an attempt was interrupted before its end
+	provisional   Answer        // the latest answer that a better one may replace; nil if there is none
+	why           Why           // how the last attempt ended
+	closed        bool          // the call has its answer, or nobody waits for one
+	headWork      time.Duration // work up to the head of an answer whose body is still to come
+	freed         bool          // the call is closed and has released its id, its room and its Hold
+	fault         bool          // the last answer was an error of the service
 }
 
-// Gone says that the client has left: no attempt begins from here on. A reply that has come by
-// then must still be released by whoever finds it in Reply; Gone looks for it in the loop.
+// Gone reports that the client has left: no attempt begins after it. A reply that has arrived by
+// then must still be released by whoever finds it in Reply. The loop looks for it there.
 func (c *Call) Gone() {
 	c.departed.Store(true)
 	c.pool.Load().post(event{kind: clientGone, call: c})
 }
 
-// isHere says whether the client still waits. That it does not holds from then on.
-func (c *Call) isHere() bool {
+// clientWaits reports whether the client still waits. Once it has returned false, it always does.
+func (c *Call) clientWaits() bool {
 	if c.departed.Load() {
 		return false
 	}
@@ -56,44 +57,44 @@
 	return !c.departed.Load()
 }
 
-// latest is when the request must be over.
+// latest returns when the request must be over.
 func (c *Call) latest() frostshift.Time {
 	if c.Body != nil {
-		return c.x.before(c.Ends)
+		return c.x.capToEnd(c.Ends)
 	}
-	return c.x.before(c.Deadline)
+	return c.x.capToEnd(c.Deadline)
 }
 
-// Undelivered says that the reply could not be written to the client whole: if the request
-// may have run, it is not taken again from a client that comes once more with its id.
+// Undelivered reports that the reply could not be written to the client whole. If the request may
+// have run, a client retry with the same id is then rejected.
 func (c *Call) Undelivered(r Reply) {
 	if r.Ran {
-		c.x.remember(c.ID)
+		c.x.rememberLost(c.ID)
 	}
 }
 
-// turnAway answers a call that no pool has taken.
-func (c *Call) turnAway(r Reply) {
+// reject answers a call that no pool has accepted.
+func (c *Call) reject(r Reply) {
 	c.closed = true
-	c.told(Ending{At: c.x.clock.Now(), Verdict: r.Verdict})
+	c.notifyEnd(Ending{At: c.x.clock.Now(), Verdict: r.Verdict})
 	if c.Item != nil && r.Verdict == Refused {
 		c.Item.Account.Refused[contract.OpenBound].Add(1)
 	} else if c.Item != nil {
 		c.Item.Account.Failed.Add(1)
 	}
-	c.letGo()
+	c.releaseHold()
 	c.Reply <- r
 }
 
-// told says how the request ended to whoever asked.
-func (c *Call) told(e Ending) {
+// notifyEnd notifies the watcher, if any, how the request ended.
+func (c *Call) notifyEnd(e Ending) {
 	if c.Watch != nil {
 		c.Watch.Ended(e)
 	}
 }
 
-// worked is the time that the attempts at this pool have taken up to now.
-func (c *Call) worked(now frostshift.Time) time.Duration {
+// workUntil returns the time that the attempts at this pool have taken up to now.
+func (c *Call) workUntil(now frostshift.Time) time.Duration {
 	sum := c.work
 	for _, a := range c.attempts {
 		if !a.ended {
@@ -103,7 +104,7 @@
 	return sum
 }
 
-func (c *Call) letGo() {
+func (c *Call) releaseHold() {
 	if c.Hold != nil {
 		c.Hold.Release()
 	}
@@ -115,25 +116,27 @@
 	c.id = p.lastID
 	p.calls[c.id] = c
 	if c.Wait > 0 {
-		p.hold(now, c)
+		p.delay(now, c)
 		return
 	}
 	p.place(now, c)
 }
 
-// hold holds a request back. Its client may leave meanwhile, and a stop fails it as any other.
-func (p *Pool) hold(now frostshift.Time, c *Call) {
+// delay holds a request back for its Wait. Its client may leave meanwhile, and a shutdown fails it
+// like any other request.
+func (p *Pool) delay(now frostshift.Time, c *Call) {
 	heap.Push(&p.timers, wake{now + c.Wait, tokenHeld | uint64(c.id)})
 	c.Wait = 0
 }
 
-// place gives a request that is no longer held back to whoever decides what comes of it.
+// place passes a request that is not delayed any more to the fallback, the scheduler or the
+// balancer.
 func (p *Pool) place(now frostshift.Time, c *Call) {
-	// Before the first list nothing is known: the request waits for it, as for a host.
-	if c.fallback != nil && p.listed && !p.b.Usable(now, c.Class) && p.handOn(c) {
+	// Before the first list no host is known: the request waits for the list, as it would for a host.
+	if c.fallback != nil && p.hasList && !p.b.Usable(now, c.Class) && p.passToFallback(c) {
 		return
 	}
-	if c.Item == nil || p.sched == nil || p.turn(now, c) {
+	if c.Item == nil || p.sched == nil || p.enqueue(now, c) {
 		p.admit(now, c)
 	}
 }
@@ -142,10 +145,10 @@
 func (p *Pool) admit(now frostshift.Time, c *Call) {
 	c.admitted = true
 	p.b.Request(now, frostshift.Request{ID: c.id, Class: c.Class, Tenant: c.Tenant,
-		Left: c.left(now), Repeat: c.Repeat, Spent: c.spent})
+		Left: c.left(now), Repeat: c.Repeat, Spent: c.priorAttempts})
 }
 
-// left is the time that a host may have for the answer.
+// left returns the time that a host may take for the answer.
 func (c *Call) left(now frostshift.Time) time.Duration {
 	if c.Body != nil {
 		return min(c.Rest, max(0, c.latest()-now))
@@ -153,17 +156,18 @@
 	return max(0, c.latest()-now)
 }
 
-// handOn passes a request that this pool does not serve to its fallback and says whether
-// it did. It must not go on where an attempt may have run (the hosts of another pool drop
-// no repeats of this one's), nor while one is out or a host here is ready: then the pool
-// turns it away for its load, and its load must not spill. A request goes on once, and
-// only with an attempt left: the balancer it comes to counts further ones, not the first.
-func (p *Pool) handOn(c *Call) bool {
+// passToFallback passes a request that this pool does not serve to its fallback and reports whether
+// it did. It must not pass a request of which an attempt may have run, because the hosts of another
+// pool do not recognize retries of this pool's requests. It does not pass one with an attempt in
+// flight, nor one for which a host is ready here: the pool then rejects the request because of
+// load, and that load must not spill over to the fallback. A request is passed only once, and only
+// with an attempt left: the balancer that receives it limits further attempts but not the first.
+func (p *Pool) passToFallback(c *Call) bool {
 	to := c.fallback
 	if c.Body != nil && !p.ways(c, body.Untouched).Has(body.Elsewhere) {
 		return false
 	}
-	if to == nil || c.closed || c.out > 0 || c.mayRan || c.spent+len(c.attempts) >= to.set.MaxAttempts ||
+	if to == nil || c.closed || c.running > 0 || c.mayRan || c.priorAttempts+len(c.attempts) >= to.set.MaxAttempts ||
 		p.b.Usable(p.clock.Now(), c.Class) || !to.room.Take(1) {
 		return false
 	}
@@ -172,21 +176,21 @@
 	c.admitted = false
 	p.room.Give(1)
 	p.counts.HandedOn.Add(1)
-	c.spent += len(c.attempts)
+	c.priorAttempts += len(c.attempts)
 	c.attempts, c.fallback = nil, nil
 	c.pool.Store(to)
 	e := event{kind: arrived, call: c}
 	select {
 	case to.events <- e:
-	default: // two pools may be each other's fallback: neither loop waits for the other
+	default: // two pools may be each other's fallback, so neither loop may wait for the other
 		go to.post(e)
 	}
 	return true
 }
 
-// gone says that the client of a call has left.
-func (p *Pool) gone(now frostshift.Time, c *Call) {
-	if at := c.pool.Load(); at != p { // handed on meanwhile
+// clientLeft handles the departure of a call's client.
+func (p *Pool) clientLeft(now frostshift.Time, c *Call) {
+	if at := c.pool.Load(); at != p { // passed to the fallback meanwhile
 		go at.post(event{kind: clientGone, call: c})
 		return
 	}
@@ -195,16 +199,16 @@
 		if c.Item != nil {
 			c.Item.Account.Left.Add(1)
 		}
-		if p.ran(c) {
-			c.x.remember(c.ID)
+		if p.mustNotRerun(c) {
+			c.x.rememberLost(c.ID)
 		}
-		c.told(Ending{At: now, Left: true, Work: c.worked(now)})
+		c.notifyEnd(Ending{At: now, Left: true, Work: c.workUntil(now)})
 		p.close(c)
-		p.forget(now, c)
+		p.withdraw(now, c)
 		return
 	}
 	select {
-	case r := <-c.Reply: // it came too late for this client
+	case r := <-c.Reply: // the reply came too late for this client
 		c.Undelivered(r)
 		if r.Answer != nil {
 			r.Answer.Release()
@@ -219,7 +223,7 @@
 	if c == nil {
 		return
 	}
-	until := c.x.before(c.Deadline)
+	until := c.x.capToEnd(c.Deadline)
 	if act.At > 0 {
 		until = min(until, act.At)
 	}
@@ -227,20 +231,20 @@
 	if !p.maySend(now, c) {
 		return
 	}
-	if c.kept != nil && !c.kept.Light() { // others need the room that it holds meanwhile
-		c.kept.Release()
-		c.kept = nil
+	if c.provisional != nil && !c.provisional.Light() { // others need the shared room that it occupies
+		c.provisional.Release()
+		c.provisional = nil
 	}
 	left := until - now
 	if c.Body != nil {
 		until, left = c.latest(), c.left(now)
 	}
 	a := &Attempt{Host: act.Host, Message: c.Message, Answers: c.Answers, Until: p.clock.At(until), Left: left,
-		pool: p, call: c, n: len(c.attempts), begun: now, sendBy: p.repeatBy(c), sent: now}
+		pool: p, call: c, n: len(c.attempts), started: now, sendBy: p.retryBy(c), sent: now}
 	c.attempts = append(c.attempts, a)
-	c.out++
+	c.running++
 	p.counts.Attempts.Add(1)
-	p.outMore(a, 1)
+	p.setInFlight(a, 1)
 	a.handle = p.upstream.Start(a)
 	if c.Body != nil {
 		p.b.Feeding(now, c.id, a.n)
@@ -248,35 +252,36 @@
 	}
 }
 
-// repeatBy is until when the next attempt at a request may go out: hosts drop repeats of a keyed
-// one for the class's window from its first attempt that may have run; 0: at any time.
-func (p *Pool) repeatBy(c *Call) frostshift.Time {
+// retryBy returns until when the next attempt at a request may be sent. Hosts drop duplicates of a
+// keyed request for the class's window, counted from its first attempt that may have run. 0 means
+// no limit.
+func (p *Pool) retryBy(c *Call) frostshift.Time {
 	class := &p.set.Classes[c.Class]
 	if class.Effect != frostshift.Keyed {
 		return 0
 	}
 	for _, a := range c.attempts {
 		if !a.ended || a.mayRan {
-			return a.begun + class.Window
+			return a.started + class.Window
 		}
 	}
 	return 0
 }
 
-// outMore tells that an attempt is out, or is so no more, each once.
-func (p *Pool) outMore(a *Attempt, more int) {
-	if p.tellOut != nil && a.told != (more > 0) {
-		a.told = more > 0
-		p.tellOut(a.Host, more)
+// setInFlight reports that an attempt is in flight, or no longer is, each once per attempt.
+func (p *Pool) setInFlight(a *Attempt, delta int) {
+	if p.onInFlightChange != nil && a.inFlight != (delta > 0) {
+		a.inFlight = delta > 0
+		p.onInFlightChange(a.Host, delta)
 	}
 }
 
-// outcome is the end of an attempt.
+// outcome handles the end of an attempt.
 func (p *Pool) outcome(now frostshift.Time, e *event) {
 	c, a := e.call, e.attempt
-	c.out--
+	c.running--
 	a.ended = true
-	p.outMore(a, -1)
+	p.setInFlight(a, -1)
 	elapsed := a.took(e.at)
 	c.work += elapsed
 	p.unpark(now, c)
@@ -285,26 +290,26 @@
 		result = p.judge(now, c, a, e.meaning)
 	}
 	p.attemptEnded(now, a, result, elapsed)
-	c.cut = c.cut || result == frostshift.TimedOut || result == frostshift.Canceled && !e.answered
+	c.interrupted = c.interrupted || result == frostshift.TimedOut || result == frostshift.Canceled && !e.answered
 	switch result {
 	case frostshift.Full, frostshift.ConnectFailed, frostshift.NotSent:
 	default:
 		c.mayRan, a.mayRan = true, true
 	}
 	if result == frostshift.ConnectFailed {
-		p.saw(a.Host, false)
+		p.onHostSeen(a.Host, false)
 	} else if e.answered || e.malformed || result == frostshift.Full {
-		p.saw(a.Host, true)
+		p.onHostSeen(a.Host, true)
 	}
 	c.why = whyOf(e, result)
 	switch {
 	case e.answer == nil:
 	case c.closed || e.meaning.Gives == verdict.Hidden:
-		e.answer.Release() // nobody gets it
+		e.answer.Release() // nobody receives it
 	case e.meaning.Gives == verdict.Final:
 		p.finish(c, Reply{Verdict: Served, Answer: e.answer})
 	default:
-		p.keep(c, e.answer)
+		p.keepProvisional(c, e.answer)
 	}
 	if !e.answered && !c.closed && c.Answers.Ends(eventOf(e, result)) && c.mayRan {
 		p.finish(c, Reply{Verdict: Failed, Why: c.why})
@@ -312,19 +317,19 @@
 	if c.Body != nil && !c.closed {
 		p.checkBody(c, a, e, result)
 	}
-	result = p.evidence(c, result)
-	if said := result; !a.flows {
+	result = p.balancerResult(c, result)
+	if reported := result; !a.flows {
 		if result == frostshift.Canceled && c.closed && !e.answered && elapsed >= p.set.Classes[c.Class].Aim {
-			said = frostshift.TimedOut
+			reported = frostshift.TimedOut
 		}
-		p.met(a.Host, c.Class, said, elapsed)
+		p.onAttemptEnd(a.Host, c.Class, reported, elapsed)
 	}
 	p.b.Outcome(now, frostshift.Outcome{Request: c.id, Attempt: a.n, Result: result, Elapsed: elapsed, After: e.after, Closed: c.closed})
 	p.release(c)
 }
 
-// judge is an answer as the balancer is told of it. What is no fault of the host's is a good
-// answer to it, though the client may be owed a better one.
+// judge converts an answer to the result that is reported to the balancer. An answer that is not
+// the host's fault is a good result, even if the client may still get a better answer.
 func (p *Pool) judge(now frostshift.Time, c *Call, a *Attempt, m verdict.Meaning) frostshift.Result {
 	fault := m.Health == verdict.Fault
 	c.fault = fault
@@ -351,12 +356,13 @@
 	return frostshift.OK
 }
 
-// keep keeps an answer for when no better one comes; the last is the one that counts.
-func (p *Pool) keep(c *Call, a Answer) {
-	if c.kept != nil {
-		c.kept.Release()
+// keepProvisional keeps an answer in case no better one arrives. The last one replaces those before
+// it.
+func (p *Pool) keepProvisional(c *Call, a Answer) {
+	if c.provisional != nil {
+		c.provisional.Release()
 	}
-	c.kept = a
+	c.provisional = a
 }
 
 func whyOf(e *event, r frostshift.Result) Why {
@@ -373,8 +379,8 @@
 	return Unsent
 }
 
-// eventOf is the event that an end without an answer is; it is asked for only where the
-// attempt may have run.
+// eventOf returns the verdict event for an attempt that ended without an answer. It is used only if
+// the attempt may have run.
 func eventOf(e *event, r frostshift.Result) verdict.Event {
 	switch {
 	case e.malformed:
@@ -385,26 +391,26 @@
 	return verdict.Reset
 }
 
-// ran says whether the request must not run again: an attempt may have, or may yet, as
-// what is out is called off too late to be sure.
-func (p *Pool) ran(c *Call) bool {
-	return (c.mayRan || c.out > 0) && p.set.Classes[c.Class].Effect != frostshift.Safe
+// mustNotRerun reports whether the request must not run again: an attempt may have run, or one in
+// flight may still run, as it is canceled too late to be sure.
+func (p *Pool) mustNotRerun(c *Call) bool {
+	return (c.mayRan || c.running > 0) && p.set.Classes[c.Class].Effect != frostshift.Safe
 }
 
-// finish gives the final answer, once. What is still out for the request is called
-// off first: nothing may go out for it once the client has its answer.
+// finish gives the final answer, once. Attempts still in flight for the request are canceled first:
+// nothing may be sent for it once the client has its answer.
 func (p *Pool) finish(c *Call, r Reply) {
 	if c.closed {
 		return
 	}
-	if r.Answer == nil && c.kept != nil && c.Answers.FromHost() {
-		r.Answer, c.kept = c.kept, nil
+	if r.Answer == nil && c.provisional != nil && c.Answers.FromHost() {
+		r.Answer, c.provisional = c.provisional, nil
 	}
-	r.Pool, r.Tries, r.Ran = p.name, c.spent+len(c.attempts), p.ran(c)
+	r.Pool, r.Tries, r.Ran = p.name, c.priorAttempts+len(c.attempts), p.mustNotRerun(c)
 	p.count(c, &r)
 	now := p.clock.Now()
 	p.requestEnded(now, c, &r)
-	c.told(Ending{At: now, Verdict: r.Verdict, Fault: c.fault, Bound: r.Violation != nil, Work: c.worked(now)})
+	c.notifyEnd(Ending{At: now, Verdict: r.Verdict, Fault: c.fault, Bound: r.Violation != nil, Work: c.workUntil(now)})
 	p.close(c)
 	c.Reply <- r
 }
@@ -425,39 +431,39 @@
 	c.account(r)
 }
 
-// close ends a request: nothing goes out for it from here on.
+// close ends a request: nothing is sent for it after that.
 func (p *Pool) close(c *Call) {
-	p.shut(c)
-	c.over = true
-	c.x.free(c.ID)
+	p.markClosed(c)
+	c.freed = true
+	c.x.releaseID(c.ID)
 	p.room.Give(1)
 	for _, a := range c.attempts {
 		a.callOff()
 	}
 	p.settle(c)
 	p.release(c)
-	c.letGo()
+	c.releaseHold()
 }
 
-// shut ends what may become of a request: its answer is chosen.
-func (p *Pool) shut(c *Call) {
+// markClosed marks the answer of a request as chosen and drops its provisional answer.
+func (p *Pool) markClosed(c *Call) {
 	c.closed = true
-	if c.kept != nil {
-		c.kept.Release()
-		c.kept = nil
+	if c.provisional != nil {
+		c.provisional.Release()
+		c.provisional = nil
 	}
 }
 
-// forget tells the balancer that nobody waits for a request any more.
-func (p *Pool) forget(now frostshift.Time, c *Call) {
+// withdraw notifies the balancer that nobody waits for a request any more.
+func (p *Pool) withdraw(now frostshift.Time, c *Call) {
 	if c.admitted {
 		p.b.Gone(now, c.id)
 	}
 }
 
-// release forgets a closed request once its attempts have ended.
+// release removes a closed request once its attempts have ended.
 func (p *Pool) release(c *Call) {
-	if c.closed && c.out == 0 {
+	if c.closed && c.running == 0 {
 		delete(p.calls, c.id)
 	}
 }
--- a/internal/exchange/clock.go
+++ b/internal/exchange/clock.go
@@ -6,30 +6,30 @@
 	"frostshift"
 )
 
-// Clock is the balancers' clock: Unix time at the start of the process plus what has
-// passed since on the monotonic clock. A balancer takes a host's start at or before 0
-// as long ago, so the origin must lie well before any host's start.
+// Clock is the balancers' clock: Unix time at the start of the process plus the time that has
+// passed since then on the monotonic clock. A balancer treats a host's start at or before 0 as long
+// ago, so the origin must lie well before any host's start.
 type Clock struct {
-	start time.Time
-	hand  *frostshift.Time // of a clock that is set by hand
+	start  time.Time
+	manual *frostshift.Time // of a manual clock: the current time; otherwise nil
 }
 
 // NewClock returns a clock that starts now.
 func NewClock() Clock { return Clock{start: time.Now()} }
 
-// NewHandClock returns a clock that shows what at does, for pools that are played in virtual
-// time with Turn.
-func NewHandClock(at *frostshift.Time) Clock { return Clock{start: time.Unix(0, 0), hand: at} }
+// NewHandClock returns a manual clock that shows the value at at, for pools that run in virtual
+// time with RunDue.
+func NewHandClock(at *frostshift.Time) Clock { return Clock{start: time.Unix(0, 0), manual: at} }
 
-// Now is the present instant.
+// Now returns the current time.
 func (c Clock) Now() frostshift.Time {
-	if c.hand != nil {
-		return *c.hand
+	if c.manual != nil {
+		return *c.manual
 	}
 	return frostshift.Time(c.start.UnixNano()) + time.Since(c.start)
 }
 
-// At turns an instant of this clock into one of the system's.
+// At converts a time of this clock to system time.
 func (c Clock) At(t frostshift.Time) time.Time {
 	return c.start.Add(t - frostshift.Time(c.start.UnixNano()))
 }
--- a/internal/exchange/events.go
+++ b/internal/exchange/events.go
@@ -8,25 +8,25 @@
 	"frostshift"
 )
 
-// attemptEnded notes an attempt that brought no good answer.
+// attemptEnded counts and logs an attempt without a good answer.
 func (p *Pool) attemptEnded(now frostshift.Time, a *Attempt, result frostshift.Result, took time.Duration) {
 	if result == frostshift.OK || int(result) >= len(p.counts.Results) {
 		return
 	}
 	p.counts.Results[result].Add(1)
-	if result == frostshift.Canceled { // by the gateway, for its client's sake
+	if result == frostshift.Canceled { // by the gateway, on behalf of its client
 		return
 	}
-	p.trouble.Note(now, "attempt ended: "+result.String(), slog.String("request", a.call.ID), slog.Int("attempt", a.n+a.call.spent+1),
+	p.failureLog.Note(now, "attempt ended: "+result.String(), slog.String("request", a.call.ID), slog.Int("attempt", a.n+a.call.priorAttempts+1),
 		slog.String("host", strconv.FormatUint(uint64(a.Host), 16)), slog.Duration("after", took))
 }
 
-// requestEnded notes a request that was not served, and why.
+// requestEnded logs a request that was not served, and why.
 func (p *Pool) requestEnded(now frostshift.Time, c *Call, r *Reply) {
 	if r.Verdict == Served {
 		return
 	}
-	p.trouble.Note(now, "request "+verdictNames[min(int(r.Verdict), len(verdictNames)-1)], slog.String("request", c.ID), slog.Int("attempts", r.Tries),
+	p.failureLog.Note(now, "request "+verdictNames[min(int(r.Verdict), len(verdictNames)-1)], slog.String("request", c.ID), slog.Int("attempts", r.Tries),
 		slog.Bool("may have run", r.Ran), slog.String("last", whyNames[min(int(r.Why), len(whyNames)-1)]),
 		slog.Duration("left", max(0, c.Deadline-now)), slog.Bool("stopping", c.x.endBy.Load() != 0))
 }
--- a/internal/exchange/events_test.go
+++ b/internal/exchange/events_test.go
@@ -19,7 +19,7 @@
 		var text bytes.Buffer
 		x := New(NewClock())
 		p := stillPool(t, x, "a", newUpstream(always(frostshift.Reset, time.Millisecond)), nil)
-		p.trouble = eventlog.New(slog.New(slog.NewTextHandler(&text, nil)))
+		p.failureLog = eventlog.New(slog.New(slog.NewTextHandler(&text, nil)))
 		go p.Run(nil, nil)
 		p.UpdateHosts(frostshift.ListFull, hostsOf(6), nil)
 		ask := func(id string) {
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -1,16 +1,16 @@
-// Package exchange is the life of one request: taken from a front, sent to hosts as the
-// pool's balancer decides, and ended with exactly one final answer. It keeps the four
-// rules for every front and upstream, and it knows no protocol: messages pass through it
-// unread.
+// Package exchange manages the life of one request: it is accepted from a front, sent to hosts as
+// the pool's balancer decides, and ended with exactly one final answer. The package enforces the
+// four rules of requests for every front and upstream. It is independent of the protocol and does
+// not read the messages that pass through it.
 //
-// What a front owes: it parses a request, whole or up to a Body that is read as it comes,
-// asks Submit for a Call, gives the client the one Reply that comes over Call.Reply, and says
-// Call.Gone if the client leaves first.
+// A front parses a request, either whole or up to a Body that is read as it arrives, calls Submit
+// to get a Call, gives the client the one Reply that arrives on Call.Reply, and calls Call.Gone if
+// the client leaves first.
 //
-// What an upstream owes is said at Upstream.
+// The duties of an upstream are documented at Upstream.
 //
-// Each Pool owns a balancer in an event loop of its own; pools share nothing but the
-// register of open ids and what the caller bounds through Room.
+// Each Pool owns a balancer in an event loop of its own. Pools share nothing but the register of
+// open ids and what the caller bounds through Room.
 package exchange
 
 import (
@@ -26,71 +26,72 @@
 	"frostshift/internal/verdict"
 )
 
-// Exchange takes requests for all pools. It is safe for concurrent use.
+// Exchange accepts requests for all pools. It is safe for concurrent use.
 type Exchange struct {
 	clock Clock
-	seed  atomic.Uint64 // of the hashes of ids
+	seed  atomic.Uint64 // seed of the hashes of ids
 	ids   [16]idShard
-	endBy atomic.Int64 // see EndBy; 0: there is no end
+	endBy atomic.Int64 // end of the process, see EndBy; 0 means that none is set
 }
 
-// idShard holds a part of the ids of open requests, so that pools on several cores do
-// not wait for one lock.
+// idShard holds the ids of open requests whose hash falls into this shard. Sharding keeps pools on
+// several cores from contending for one lock.
 type idShard struct {
 	mu   sync.Mutex
 	open map[string]struct{}
-	// lost are requests that may have run and whose clients have had no answer: see outcome.Store.
+	// lost holds the hashes of requests that may have run and whose clients received no answer: see
+	// outcome.Store.
 	lost *outcome.Store
-	// remote are the hashes of those that are open at the gateway's other process.
-	remote map[uint64]struct{}
-	twin   Sibling // nil: there is none
+	// remote holds the hashes of requests that are open at the sibling process of this gateway.
+	remote  map[uint64]struct{}
+	sibling Sibling // nil if there is no sibling process
 }
 
 const (
-	// lostFor is how long they are remembered at the least; a client that has lost its
-	// connection comes again at once or when its own time is up.
-	lostFor  = 30 * time.Second
-	mostLost = 2048 // of a shard and of half the time: beyond that the older half is forgotten
+	// lostTTL is the minimum time for which these requests are remembered. A client that has lost
+	// its connection retries at once or when its own timeout expires.
+	lostTTL = 30 * time.Second
+	maxLost = 2048 // per shard and generation; beyond it the older generation is dropped early
 )
 
-// New returns an exchange with no request open.
+// New returns an Exchange with no open requests.
 func New(clock Clock) *Exchange {
 	x := &Exchange{clock: clock}
 	x.seed.Store(rand.Uint64())
 	for i := range x.ids {
 		x.ids[i].open = map[string]struct{}{}
-		x.ids[i].lost = outcome.New(lostFor, mostLost)
+		x.ids[i].lost = outcome.New(lostTTL, maxLost)
 	}
 	return x
 }
 
-// Clock is the clock that deadlines are told on.
+// Clock returns the clock on which deadlines are given.
 func (x *Exchange) Clock() Clock { return x.clock }
 
-// EndBy says when the process ends: no request has longer than until then. From then on nothing is sent
-// for any, and one that comes is refused.
+// EndBy sets the time when the process ends. No request has a deadline beyond it. After it no
+// attempt is sent for any request, and new requests are refused.
 func (x *Exchange) EndBy(at frostshift.Time) { x.endBy.Store(int64(at)) }
 
-// before is the earlier of an instant and the end of the process.
-func (x *Exchange) before(at frostshift.Time) frostshift.Time {
+// capToEnd returns the earlier of at and the end of the process.
+func (x *Exchange) capToEnd(at frostshift.Time) frostshift.Time {
 	if end := frostshift.Time(x.endBy.Load()); end != 0 {
 		return min(at, end)
 	}
 	return at
 }
 
-// isOver says whether the process has come to its end.
-func (x *Exchange) isOver(now frostshift.Time) bool { return x.before(now) < now }
+// pastEnd reports whether the process has passed its end.
+func (x *Exchange) pastEnd(now frostshift.Time) bool { return x.capToEnd(now) < now }
 
-// shard is where an id belongs, with its hash there.
+// shard returns the shard of an id and the hash of the id.
 func (x *Exchange) shard(id string) (*idShard, uint64) {
 	h := x.hashOf(id)
 	return x.shardOf(h), h
 }
 
-// claim marks an id as open. It fails with Duplicate if it is open already, and, where the
-// request must not run twice, with Failed if one of this id may have run and its client
-// has heard of no end: it then comes again, on another connection.
+// claim marks an id as open. It fails with Duplicate if the id is already open. For a request that
+// must not run twice it fails with Failed if an earlier request of this id may have run and its
+// client was not notified how it ended: the client is then retrying on another connection.
 func (x *Exchange) claim(id string, effect frostshift.Effect) (v Verdict, ok bool) {
 	s, h := x.shard(id)
 	s.mu.Lock()
@@ -105,29 +106,29 @@
 		return Failed, false
 	}
 	s.open[id] = struct{}{}
-	s.tell(noteOpen, h)
+	s.notify(noteOpen, h)
 	return 0, true
 }
 
-func (x *Exchange) free(id string) {
+func (x *Exchange) releaseID(id string) {
 	s, h := x.shard(id)
 	s.mu.Lock()
 	delete(s.open, id)
-	s.tell(noteEnd, h)
+	s.notify(noteEnd, h)
 	s.mu.Unlock()
 }
 
-// remember notes that a request may have run and that its client has not been told how it
-// ended. Its id is open still, or its answer could not be delivered.
-func (x *Exchange) remember(id string) {
+// rememberLost records that a request may have run and that its client was not notified how it
+// ended. Either its id is still open, or its answer could not be delivered.
+func (x *Exchange) rememberLost(id string) {
 	s, h := x.shard(id)
 	s.mu.Lock()
 	s.lost.Note(x.clock.Now(), h)
-	s.tell(noteLost, h)
+	s.notify(noteLost, h)
 	s.mu.Unlock()
 }
 
-// Open is how many requests are owed an answer, over all pools.
+// Open returns the number of requests that still await an answer, over all pools.
 func (x *Exchange) Open() (n int) {
 	for i := range x.ids {
 		x.ids[i].mu.Lock()
@@ -137,127 +138,129 @@
 	return n
 }
 
-// Request is what a front hands over.
+// Request is what a front submits.
 type Request struct {
-	ID       string // unique among open requests: two of one id would be one to the hosts
+	ID       string // unique among open requests, as hosts would take two with one id for the same request
 	Class    int    // index in the pool's Settings.Classes
-	Tenant   int    // index in its Settings.Tenants; -1: none
-	Repeat   bool   // the client marks it as a repeat
+	Tenant   int    // index in the pool's Settings.Tenants; -1 means no tenant
+	Repeat   bool   // the client marks it as a client retry
 	Deadline frostshift.Time
-	// Wait is how long the request is held back first: less than it has until its deadline.
+	// Wait is a delay before the request is handled. It is shorter than the time until Deadline.
 	Wait    time.Duration
-	Message any          // for the upstream, unread here
-	Answers *verdict.Set // what answers mean; nil: as on the platform
-	// Item is the request in the pool's scheduler; nil: no contract is about it.
+	Message any          // for the upstream; this package does not read it
+	Answers *verdict.Set // the meaning of answers; nil means the platform's defaults
+	// Item is the request in the pool's scheduler; nil if no contract applies to the request.
 	Item *contract.Item
-	// Body is there where the message is not whole: its body comes as attempts ask for it.
-	// Deadline then is for a host to be found, Rest what the head of the answer may take from
-	// the body's last byte on, and Ends when all must be over.
+	// Body is set if the message is not whole: its body is read as attempts ask for it. Deadline is
+	// then the time by which a host must be found, Rest is the time that the head of the answer may
+	// take after the last byte of the body, and Ends is when the whole exchange must be over.
 	Body Body
 	Rest time.Duration
 	Ends frostshift.Time
-	// Hold is let go once, when the request has its answer or nobody waits for one: what
-	// it needs from outside, above all its pools, stays until then. nil: nothing.
+	// Hold is released once, when the request has its answer or nobody waits for one. It keeps
+	// alive what the request needs from outside, above all its pools. It may be nil.
 	Hold interface{ Release() }
-	// Client is asked right before the first byte of each attempt whether it still waits; nil: nobody is,
-	// and Gone says it in time.
+	// Client is asked right before the first byte of each attempt whether it still waits. If it is
+	// nil, no check is made, and Gone must report a departure in time.
 	Client Client
-	// Watch is told how the request ended, once, before it is let go; nil: nobody asks.
+	// Watch is notified once how the request ended, before Hold is released. It may be nil.
 	Watch Watcher
 }
 
-// Body is a request's body as far as it matters here: what could still be sent once more. Its
-// methods are called in a pool's loop and must not wait for anything.
+// Body is the state of a request's body as far as this package needs it: what could still be sent
+// again. Its methods are called in a pool's loop and must not block.
 type Body interface {
 	State() body.State
-	Broken() bool // the client's sending has broken off
+	Broken() bool // the client stopped sending before the end of the body
 }
 
-// Client is whoever waits for a request's answer. Here says whether it has not been seen to leave, by a look
-// at its connection: what reads there may have had no processor time since. It must not wait.
+// Client is the client that waits for a request's answer. Here reports whether the client has not
+// been seen to leave, by a check of its connection: the goroutine that reads the connection may
+// have had no processor time since. Here must not block.
 type Client interface{ Here() bool }
 
-// Watcher is told how requests end. It is called in a pool's loop, or by Submit.
+// Watcher is notified how requests end. It is called in a pool's loop, or by Submit.
 type Watcher interface{ Ended(e Ending) }
 
-// Ending is how a request ended.
+// Ending describes how a request ended.
 type Ending struct {
 	At      frostshift.Time
 	Verdict Verdict
 	Fault   bool          // with Served: the answer is an error of the service
-	Left    bool          // its client left before there was an answer
-	Bound   bool          // a contract, not a pool, has turned it away
-	Work    time.Duration // that its attempts took at the pool it ended in
+	Left    bool          // the client left before there was an answer
+	Bound   bool          // a contract, not a pool, rejected the request
+	Work    time.Duration // time that its attempts took at the pool in which it ended
 }
 
-// Verdict says what a final answer is.
+// Verdict is the kind of a final answer.
 type Verdict uint8
 
-// Verdicts. Refused promises that trying again is harmless; Failed promises nothing.
+// Verdicts. Refused guarantees that a client retry is harmless; Failed guarantees nothing.
 const (
-	Served  Verdict = iota // Reply.Answer is the host's, and is final
-	Refused                // turned away by the balancer, or for want of room
+	Served  Verdict = iota // Reply.Answer comes from the host and is final
+	Refused                // rejected by the balancer, or for lack of room
 	Failed
-	Duplicate // not taken: its id is that of an open request
+	Duplicate // not accepted: its id belongs to an open request
 )
 
 // Reply is the one final answer to a request.
 type Reply struct {
 	Verdict Verdict
-	Answer  Answer        // the host's, with Served; may come with the others: it stands for them
-	Why     Why           // with Failed: what became of the last attempt
-	After   time.Duration // with Refused: when to come back; 0: no advice
-	Pool    string        // that answered
-	Tries   int           // attempts that were started for it, over all pools
-	Ran     bool          // one of them has run or may have, and must not run again
-	Full    bool          // with Refused: for want of room, not by a balancer
-	// Violation says what of the team's budget has run out, if that is why it was refused.
+	Answer  Answer        // the host's answer with Served; with another verdict, if set, it is given to the client instead
+	Why     Why           // with Failed: how the last attempt ended
+	After   time.Duration // with Refused: when the client may retry; 0 means no advice
+	Pool    string        // name of the pool that answered
+	Tries   int           // attempts that were started for the request, over all pools
+	Ran     bool          // an attempt has run or may have run, and the request must not run again
+	Full    bool          // with Refused: for lack of room, not rejected by a balancer
+	// Violation states which part of the team's budget is exhausted, if that is why the request was
+	// refused.
 	Violation *contract.Violation
 }
 
-// Why says what became of the last attempt of a request that failed.
+// Why is how the last attempt of a failed request ended.
 type Why uint8
 
-// Whys. Unsent: there was none that a host can have seen.
+// Values of Why. Unsent means that no attempt was made that a host can have seen.
 const (
 	Unsent Why = iota
 	WhyTimedOut
 	WhyReset
 	WhyMalformed
-	WhyAnswered // with what the client does not get
+	WhyAnswered // with an answer that the client does not receive
 )
 
-// Answer is a host's answer, unread here. Release gives back what it holds; it is
-// called once by whoever has it last. Light says whether it holds no room that others
-// share: such a one may be kept while another attempt is out.
+// Answer is a host's answer, which this package does not read. Release frees what it holds; its
+// last owner calls it once. Light reports whether it holds no room that others share: a light
+// answer may be kept while another attempt is in flight.
 //
-// One that was reported by Attempt.Flowing is its head alone. Whoever has it reads its body
-// and then releases it; the request stays open until the attempt says Flowed.
+// An answer that was reported by Attempt.Flowing is only the head. Its owner reads its body and
+// then releases it; the request stays open until the attempt calls Flowed.
 type Answer interface {
 	Release()
 	Light() bool
 }
 
-// Submit takes a request for a pool. Where the pool has no host that is ready, and
-// nothing that may have run stands in the way, the fallback gets it; nil: there is none.
-// Request.Hold keeps both pools from ending until the call is closed.
+// Submit hands a request to a pool. If the pool has no ready host, the request goes to fallback,
+// unless an attempt that may have run forbids it; fallback may be nil. Request.Hold keeps both
+// pools from ending until the call is closed.
 func (x *Exchange) Submit(r Request, to, fallback *Pool) *Call {
-	r.Deadline, r.Ends = x.before(r.Deadline), x.before(r.Ends)
+	r.Deadline, r.Ends = x.capToEnd(r.Deadline), x.capToEnd(r.Ends)
 	c := &Call{Request: r, x: x, fallback: fallback, Reply: make(chan Reply, 1)}
 	c.pool.Store(to)
 	if v, ok := x.claim(r.ID, to.set.Classes[r.Class].Effect); !ok {
-		c.turnAway(Reply{Verdict: v, Pool: to.name})
+		c.reject(Reply{Verdict: v, Pool: to.name})
 		return c
 	}
-	if x.isOver(x.clock.Now()) {
-		x.free(r.ID)
-		c.turnAway(Reply{Verdict: Refused, After: to.advice, Pool: to.name})
+	if x.pastEnd(x.clock.Now()) {
+		x.releaseID(r.ID)
+		c.reject(Reply{Verdict: Refused, After: to.advice, Pool: to.name})
 		return c
 	}
-	if !to.room.Take(1) { // nothing was sent, so a refusal is true
+	if !to.room.Take(1) { // nothing was sent, so refusing is safe
 		if fallback == nil || !fallback.room.Take(1) {
-			x.free(r.ID)
-			c.turnAway(Reply{Verdict: Refused, After: to.advice, Pool: to.name, Full: true})
+			x.releaseID(r.ID)
+			c.reject(Reply{Verdict: Refused, After: to.advice, Pool: to.name, Full: true})
 			return c
 		}
 		c.pool.Store(fallback)
@@ -269,11 +272,11 @@
 
 // Room bounds the open requests of a pool. It is safe for concurrent use.
 type Room interface {
-	Take(n int64) bool // false: there is none, and nothing was taken
+	Take(n int64) bool // false: there is no room, and nothing was taken
 	Give(n int64)
 }
 
-// Unbounded is room without end.
+// Unbounded is a Room without a bound.
 type Unbounded struct{}
 
 // Take always succeeds.
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -381,7 +381,7 @@
 			x := New(NewClock())
 			p := stillPool(t, x, "a", newUpstream(always(frostshift.OK, time.Hour)), nil)
 			var met []frostshift.Result
-			p.met = func(_ frostshift.HostID, _ int, r frostshift.Result, took frostshift.Time) {
+			p.onAttemptEnd = func(_ frostshift.HostID, _ int, r frostshift.Result, took frostshift.Time) {
 				if met = append(met, r); took < min(c.leaves, 900*time.Millisecond) {
 					t.Errorf("it took %v", took)
 				}
--- a/internal/exchange/fair.go
+++ b/internal/exchange/fair.go
@@ -8,45 +8,45 @@
 	"frostshift/internal/contract"
 )
 
-// What contracts mean in a pool: requests go to the balancer in the order of the
-// scheduler, pay for what they cost, and have further attempts only within their team's
-// budget. All of it is decided in package contract; this file carries it out.
+// This file applies contracts in a pool: requests go to the balancer in the order of the scheduler,
+// are charged what they cost, and get further attempts only within their team's budget. Package
+// contract decides all of this; this file carries it out.
 
 const (
-	// tokenPump is a timer of the pool's own. The balancer's tokens have kinds from 1 on in
-	// their upper eight bits.
-	tokenPump = 0xff << 56
-	// tokenHeld is the timer of a request that is held back, with its id.
+	// tokenDispatch marks the pool's own dispatch timer. The kinds in the upper eight bits of the
+	// balancer's tokens count from 1 up.
+	tokenDispatch = 0xff << 56
+	// tokenHeld marks the timer of a delayed request; the lower bits hold its id.
 	tokenHeld = 0xfe << 56
-	// capacityEvery is how old the scheduler's idea of the capacity may be.
-	capacityEvery = 5 * time.Millisecond
-	pumpEvery     = 10 * time.Millisecond // while requests wait: hosts come back with time alone
+	// capacityInterval is the maximum age of the capacity that the scheduler uses.
+	capacityInterval = 5 * time.Millisecond
+	dispatchInterval = 10 * time.Millisecond // while requests wait: hosts become available with time alone
 )
 
-// turn asks the scheduler for a new request and says whether it goes at once. One that is
-// refused has its answer.
-func (p *Pool) turn(now frostshift.Time, c *Call) bool {
-	p.look(now)
+// enqueue submits a new request to the scheduler and reports whether it may go to the balancer at
+// once. If the scheduler refuses the request, enqueue gives it its answer.
+func (p *Pool) enqueue(now frostshift.Time, c *Call) bool {
+	p.updateCapacity(now)
 	c.Item.Owner = c
-	switch turn, after := p.sched.Arrive(now, c.Item); turn {
+	switch decision, after := p.sched.Arrive(now, c.Item); decision {
 	case contract.Go:
 		return true
 	case contract.Refuse:
-		p.finish(c, late(c, after))
+		p.finish(c, lateRefusal(c, after))
 	}
 	return false
 }
 
-// late is the refusal of a request that could not have its turn in time.
-func late(c *Call, after time.Duration) Reply {
+// lateRefusal is the refusal of a request that could not be scheduled in time.
+func lateRefusal(c *Call, after time.Duration) Reply {
 	return Reply{Verdict: Refused, After: after, Violation: &contract.Violation{Status: 429, Title: "no turn in time",
 		Detail: "team " + c.Item.Terms.Team + " has used its share of the hosts for now", Team: c.Item.Terms.Team, After: after, Cause: contract.TooLate}}
 }
 
-// look tells the scheduler what the hosts can take.
-func (p *Pool) look(now frostshift.Time) {
-	if now-p.lookedAt >= capacityEvery {
-		p.lookedAt = now
+// updateCapacity gives the scheduler the current capacity of the hosts.
+func (p *Pool) updateCapacity(now frostshift.Time) {
+	if now-p.capacityAt >= capacityInterval {
+		p.capacityAt = now
 		p.sched.SetCapacity(now, p.b.Capacity(now))
 		out, waiting, _ := p.sched.Counts()
 		p.fleetShare.Look(now, out > 0, waiting > 0)
@@ -54,53 +54,53 @@
 	}
 }
 
-// pump gives the balancer the requests whose turn it is, and refuses those that can't be
-// answered in time any more.
-func (p *Pool) pump() {
+// dispatch gives the balancer the requests that the scheduler releases, and refuses those that
+// cannot be answered in time any more.
+func (p *Pool) dispatch() {
 	if p.sched == nil {
 		return
 	}
 	now := p.clock.Now()
-	p.look(now)
+	p.updateCapacity(now)
 	for it := p.sched.Next(now); it != nil; it = p.sched.Next(now) {
 		p.admit(now, it.Owner.(*Call))
-		p.carryOut()
+		p.runActions()
 	}
 	for it, after := p.sched.Expired(now); it != nil; it, after = p.sched.Expired(now) {
 		c := it.Owner.(*Call)
-		p.finish(c, late(c, after))
+		p.finish(c, lateRefusal(c, after))
 	}
 	if due := p.sched.Due(); due > 0 {
-		if due = min(due, now+pumpEvery); p.pumpAt == 0 || due < p.pumpAt {
-			p.pumpAt = due
-			heap.Push(&p.timers, wake{due, tokenPump})
+		if due = min(due, now+dispatchInterval); p.dispatchAt == 0 || due < p.dispatchAt {
+			p.dispatchAt = due
+			heap.Push(&p.timers, wake{due, tokenDispatch})
 		}
 	}
 }
 
-// settle ends a request in the scheduler: its team pays for what it has cost here.
+// settle ends a request in the scheduler: its team is charged what it has cost here.
 func (p *Pool) settle(c *Call) {
 	if c.Item == nil || p.sched == nil {
 		return
 	}
 	now := p.clock.Now()
-	work, cut := c.worked(now), c.cut || c.out > 0
-	c.work, c.cut = 0, false
+	work, cut := c.workUntil(now), c.interrupted || c.running > 0
+	c.work, c.interrupted = 0, false
 	p.sched.Done(now, c.Item, work, cut)
 }
 
-// maySend says whether the balancer's next attempt may go out: the process is not at its end, and the
-// attempt is within the budgets of the pool and of the team. If not, the request ends here, with an
-// honest answer.
+// maySend reports whether the balancer's next attempt may be sent: the process has not passed its
+// end, and the attempt is within the budgets of the pool and of the team. If not, the request ends
+// here, with an answer that is truthful about what may have run.
 func (p *Pool) maySend(now frostshift.Time, c *Call) bool {
 	r := Reply{Verdict: Failed, Why: c.why}
 	harmless := !c.mayRan || p.set.Classes[c.Class].Effect == frostshift.Safe
 	switch {
-	case c.x.isOver(now):
+	case c.x.pastEnd(now):
 		if harmless {
 			r = Reply{Verdict: Refused, After: p.advice}
 		}
-	case c.spent+len(c.attempts) == 0:
+	case c.priorAttempts+len(c.attempts) == 0:
 		p.repeats.Asked()
 		return true
 	case c.mayRan && !p.repeats.Take(now):
@@ -120,9 +120,10 @@
 	return false
 }
 
-// evidence is a result as the balancer is told of it. An error that is the request's own
-// fault tells nothing of the host; called off, an attempt may have run all the same.
-func (p *Pool) evidence(c *Call, r frostshift.Result) frostshift.Result {
+// balancerResult converts a result to the one that is reported to the balancer. An error that is
+// the request's own fault is no evidence about the host: it is reported as Canceled, which still
+// means that the attempt may have run.
+func (p *Pool) balancerResult(c *Call, r frostshift.Result) frostshift.Result {
 	if c.Item == nil || p.sched == nil || r != frostshift.OK && r != frostshift.Failed {
 		return r
 	}
--- a/internal/exchange/flow.go
+++ b/internal/exchange/flow.go
@@ -5,27 +5,26 @@
 	"frostshift/internal/body"
 )
 
-// What bodies that are not held whole mean in a pool. What of a request may still be done is
-// decided in package body; this file asks it, and keeps a request open until the body of its
-// answer has ended.
+// This file handles request bodies that are not held whole, and answers whose bodies are still to
+// come. Package body decides what may still be done with such a request; this file asks it, and
+// keeps a request open until the body of its answer has ended.
 
-// flowPart is what a body on its way holds of a host beside an attempt that is worked on, in
-// a team's account as in the balancer's load.
-const flowPart = 8
+// bodyLoadDivisor scales the load of a body in transfer: it uses this fraction of the host time
+// that an attempt being processed uses, in a team's account as in the balancer's load.
+const bodyLoadDivisor = 8
 
-// ways asks what is honest for a request after an event.
+// ways returns what may still be done with a request after an event.
 func (p *Pool) ways(c *Call, e body.Event) body.Ways {
 	switch {
 	case c.Body.Broken():
 		e = body.Broken
 	case c.mayRan && e < body.Cut:
-		e = body.Lost // an earlier attempt, if not the last
+		e = body.Lost // an earlier attempt may have run, even if the last one did not
 	}
 	return body.May(c.Body.State(), e, p.set.Classes[c.Class].Effect)
 }
 
-// checkBody ends a request whose body can't be sent once more: the balancer decides among the
-// others.
+// checkBody ends a request whose body cannot be sent again. The balancer decides about all others.
 func (p *Pool) checkBody(c *Call, a *Attempt, e *event, r frostshift.Result) {
 	what := body.Lost
 	switch {
@@ -47,59 +46,60 @@
 	}
 }
 
-// fed notes that an attempt's request has gone out: its host's time begins.
+// fed handles the end of an attempt's request: the time that counts for its host begins.
 func (p *Pool) fed(now frostshift.Time, e *event) {
 	c, a := e.call, e.attempt
 	if a.ended || a.flows || a.fed {
 		return
 	}
 	a.fed = true
-	c.work += a.took(e.at) / flowPart
+	c.work += a.took(e.at) / bodyLoadDivisor
 	a.restart(e.at)
 	p.unpark(now, c)
 	p.b.Fed(now, c.id, a.n)
 }
 
-// flows takes the head of a final answer, whose body is still to come. The client gets it,
-// and with it the request has its verdict; but it holds what it holds until the body's end.
+// flows handles the head of a final answer whose body is still to come. The client receives it, and
+// with it the verdict on the request is settled; but the request keeps its resources until the end
+// of the body.
 func (p *Pool) flows(now frostshift.Time, e *event) {
 	c, a := e.call, e.attempt
 	a.flows = true
-	p.outMore(a, -1)
+	p.setInFlight(a, -1)
 	if c.closed {
-		e.answer.Release() // nobody gets it; Flowed follows
+		e.answer.Release() // nobody receives it; Flowed follows
 		return
 	}
 	took := a.took(e.at)
 	c.work += took
 	a.restart(e.at)
 	p.unpark(now, c)
-	result := p.evidence(c, p.judge(now, c, a, e.meaning))
+	result := p.balancerResult(c, p.judge(now, c, a, e.meaning))
 	c.mayRan, c.why = true, WhyAnswered
-	p.saw(a.Host, true)
-	p.met(a.Host, c.Class, result, took)
+	p.onHostSeen(a.Host, true)
+	p.onAttemptEnd(a.Host, c.Class, result, took)
 	p.b.Flowing(now, c.id, a.n, result, took)
-	r := Reply{Verdict: Served, Answer: e.answer, Pool: p.name, Tries: c.spent + len(c.attempts), Ran: p.ran(c)}
-	c.headWork = c.worked(now)
-	p.shut(c)
+	r := Reply{Verdict: Served, Answer: e.answer, Pool: p.name, Tries: c.priorAttempts + len(c.attempts), Ran: p.mustNotRerun(c)}
+	c.headWork = c.workUntil(now)
+	p.markClosed(c)
 	p.settle(c)
 	c.Reply <- r
 }
 
-// flowed ends a request with the body of its answer.
+// flowed ends a request whose answer's body has ended.
 func (p *Pool) flowed(now frostshift.Time, e *event) {
 	c, a := e.call, e.attempt
-	c.out--
+	c.running--
 	a.ended = true
-	p.outMore(a, -1)
-	held := a.took(e.at) / flowPart
-	if !c.over {
-		c.over = true
+	p.setInFlight(a, -1)
+	held := a.took(e.at) / bodyLoadDivisor
+	if !c.freed {
+		c.freed = true
 		end := Ending{At: now, Verdict: Served, Fault: c.fault, Work: c.headWork + held}
 		switch r := (Reply{Verdict: Served}); e.result {
 		case frostshift.OK:
 			p.count(c, &r)
-		case frostshift.Canceled: // its client has left, or took nothing in
+		case frostshift.Canceled: // the client has left, or did not read the answer
 			end.Left = true
 			p.counts.Left.Add(1)
 			if c.Item != nil {
@@ -110,31 +110,31 @@
 			p.counts.Broke.Add(1)
 			r.Verdict = Failed
 			p.count(c, &r)
-			if p.ran(c) { // the client does not know how it ended
-				c.x.remember(c.ID)
+			if p.mustNotRerun(c) { // the client does not know how it ended
+				c.x.rememberLost(c.ID)
 			}
 		}
 		if c.Item != nil && p.sched != nil {
 			p.sched.Charge(now, c.Item, held)
 		}
-		c.told(end)
-		c.x.free(c.ID)
+		c.notifyEnd(end)
+		c.x.releaseID(c.ID)
 		p.room.Give(1)
-		c.letGo()
+		c.releaseHold()
 	}
 	p.b.Outcome(now, frostshift.Outcome{Request: c.id, Attempt: a.n, Result: e.result, Closed: true})
 	p.release(c)
 }
 
-// park takes a request out of what its team holds of the hosts while its body comes: a
-// client that drips would hold a place for others' work.
+// park excludes a request from its team's use of the hosts while its body arrives. Otherwise a
+// client that sends slowly would block capacity that others need.
 func (p *Pool) park(now frostshift.Time, c *Call) {
 	if c.Item != nil && p.sched != nil {
 		p.sched.Park(now, c.Item)
 	}
 }
 
-// unpark brings it back.
+// unpark reverts park.
 func (p *Pool) unpark(now frostshift.Time, c *Call) {
 	if c.Body != nil && c.Item != nil && p.sched != nil {
 		p.sched.Unpark(now, c.Item)
--- a/internal/exchange/flow_test.go
+++ b/internal/exchange/flow_test.go
@@ -113,7 +113,7 @@
 			if n := p.Counts().Failed.Load(); (n == 1) != c.failed {
 				t.Errorf("%d failed", n)
 			}
-			if len(w.list) != 1 || w.list[0].Fault != c.bad || w.list[0].Work > 31*time.Minute/flowPart+time.Second {
+			if len(w.list) != 1 || w.list[0].Fault != c.bad || w.list[0].Work > 31*time.Minute/bodyLoadDivisor+time.Second {
 				t.Errorf("endings %+v", w.list)
 			}
 			select {
--- a/internal/exchange/loop.go
+++ b/internal/exchange/loop.go
@@ -8,21 +8,22 @@
 	"frostshift"
 )
 
-// leastStall is how late the loop must be for what is due to count as a stall of the process's
-// own. Scheduling among goroutines takes less.
-const leastStall = 5 * time.Millisecond
+// minStall is how late the loop must be for a due timer before the delay counts as a stall of the
+// process itself. The scheduling of goroutines causes shorter delays.
+const minStall = 5 * time.Millisecond
 
-// catchUps is how often, behind a stall, others may run before the loop's timers do.
-const catchUps = 4
+// catchUpYields is how often, after a stall, the loop yields to other goroutines before it handles
+// its own timers.
+const catchUpYields = 4
 
-// Run handles events until the pool has been drained and nothing is open. saved, if not
-// nil, is the host list of an earlier run; apply goes with it as with News.
+// Run handles events until the pool has been drained and nothing is open. saved, if not nil, is the
+// host list of an earlier run; apply is called with it as in UpdateHosts.
 func (p *Pool) Run(saved []frostshift.Host, apply func()) {
 	defer close(p.done)
 	p.begin(saved, apply)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	var armed frostshift.Time // what the timer is set to; 0: nothing
+	var armed frostshift.Time // the time that the timer is set to; 0 means not set
 	quit := p.quit
 	for quit != nil || len(p.calls) > 0 {
 		if len(p.timers) > 0 && p.timers[0].at != armed {
@@ -34,17 +35,17 @@
 			quit = nil
 			continue
 		case e := <-p.events:
-			p.behind()
+			p.reportStall()
 			p.handle(p.clock.Now(), &e)
-			p.carryOut()
-			p.pump()
+			p.runActions()
+			p.dispatch()
 		case <-timer.C:
 			armed = 0
-			if p.behind() {
+			if p.reportStall() {
 				p.catchUp()
 			}
 		}
-		p.ring()
+		p.fireTimers()
 	}
 }
 
@@ -52,53 +53,53 @@
 	p.b.Start(p.clock.Now())
 	if saved != nil {
 		apply()
-		p.listed = true
+		p.hasList = true
 		p.b.Hosts(p.clock.Now(), frostshift.ListSaved, saved)
 	}
-	if p.began = p.clock.Now(); len(saved) > 0 {
-		p.restore(p.began)
+	if p.startedAt = p.clock.Now(); len(saved) > 0 {
+		p.restore(p.startedAt)
 	}
-	p.carryOut()
+	p.runActions()
 }
 
-// ring rings the timers that are due.
-func (p *Pool) ring() {
+// fireTimers handles the timers that are due.
+func (p *Pool) fireTimers() {
 	for len(p.timers) > 0 && p.timers[0].at <= p.clock.Now() {
 		t := heap.Pop(&p.timers).(wake)
 		switch {
-		case t.token == tokenPump:
-			p.pumpAt = 0
-		case t.token&tokenPump == tokenHeld:
+		case t.token == tokenDispatch:
+			p.dispatchAt = 0
+		case t.token&tokenDispatch == tokenHeld:
 			if c := p.calls[frostshift.RequestID(t.token&^tokenHeld)]; c != nil && !c.closed {
 				p.place(p.clock.Now(), c)
-				p.carryOut()
+				p.runActions()
 			}
 		default:
 			p.b.Timer(p.clock.Now(), t.token)
-			p.carryOut()
+			p.runActions()
 		}
-		p.pump()
+		p.dispatch()
 	}
 }
 
-// RunDue does what has come and is due, for a pool that is played on a clock set by hand and is
-// not Run. It says when it is to be called again at the latest; 0: with the next event. Its
-// first call begins the pool.
+// RunDue handles all pending events and due timers, for a pool in virtual time that does not use
+// Run. It returns the latest time of the next call; 0 means with the next event. The first call
+// starts the pool.
 func (p *Pool) RunDue() (next frostshift.Time) {
-	if !p.begun {
-		p.begun = true
+	if !p.started {
+		p.started = true
 		p.begin(nil, nil)
 	}
 	for {
 		select {
 		case e := <-p.events:
 			p.handle(p.clock.Now(), &e)
-			p.carryOut()
-			p.pump()
+			p.runActions()
+			p.dispatch()
 			continue
 		default:
 		}
-		if p.ring(); len(p.events) > 0 {
+		if p.fireTimers(); len(p.events) > 0 {
 			continue
 		}
 		if len(p.timers) == 0 {
@@ -108,35 +109,36 @@
 	}
 }
 
-// behind tells the balancer that the gateway itself has stood still, or was behind, if the
-// loop is late for what is due next: its share of the processor was used up, or the
-// machine's was. It says whether that was so.
-func (p *Pool) behind() bool {
+// reportStall notifies the balancer of a stall of the gateway itself if the loop is late for its
+// next timer: the processor quota of the process was exhausted, or the machine was overloaded. It
+// reports whether there was a stall.
+func (p *Pool) reportStall() bool {
 	if len(p.timers) == 0 {
 		return false
 	}
 	now := p.clock.Now()
-	from := max(p.timers[0].at, p.behindAt)
-	if now-from < leastStall {
+	from := max(p.timers[0].at, p.stalledUntil)
+	if now-from < minStall {
 		return false
 	}
-	p.behindAt = now
+	p.stalledUntil = now
 	p.b.Stood(now, now-from)
 	return true
 }
 
-// catchUp takes what has come during a stall before timers that would judge by the clock
-// alone: hosts have answered meanwhile. It gives those that read the answers a chance to.
+// catchUp handles the events that arrived during a stall before the timers, which would otherwise
+// judge hosts by the clock alone although they have answered meanwhile. It yields to the goroutines
+// that read the answers.
 func (p *Pool) catchUp() {
-	for range catchUps {
+	for range catchUpYields {
 		runtime.Gosched()
 		for n := len(p.events); n > 0; n-- {
 			e := <-p.events
 			p.handle(p.clock.Now(), &e)
-			p.carryOut()
+			p.runActions()
 		}
 	}
-	p.pump()
+	p.dispatch()
 }
 
 func (p *Pool) handle(now frostshift.Time, e *event) {
@@ -152,22 +154,22 @@
 	case attemptFlowed:
 		p.flowed(now, e)
 	case clientGone:
-		p.gone(now, e.call)
+		p.clientLeft(now, e.call)
 	case do:
 		e.run(now)
 	}
 }
 
-// carryOut does what the balancer asks for, also what it asks for meanwhile.
-func (p *Pool) carryOut() {
-	for p.acts = p.b.Drain(p.acts[:0]); len(p.acts) > 0; p.acts = p.b.Drain(p.acts[:0]) {
-		p.carryOutAll()
+// runActions carries out the balancer's actions, including those that result from them.
+func (p *Pool) runActions() {
+	for p.actions = p.b.Drain(p.actions[:0]); len(p.actions) > 0; p.actions = p.b.Drain(p.actions[:0]) {
+		p.runActionBatch()
 	}
 }
 
-func (p *Pool) carryOutAll() {
-	for i := range p.acts {
-		a := &p.acts[i]
+func (p *Pool) runActionBatch() {
+	for i := range p.actions {
+		a := &p.actions[i]
 		switch a.Kind {
 		case frostshift.Send:
 			p.send(a)
@@ -176,7 +178,7 @@
 				c.attempts[a.Attempt].callOff()
 			}
 		case frostshift.Refuse:
-			if c := p.calls[a.Request]; c != nil && !p.handOn(c) {
+			if c := p.calls[a.Request]; c != nil && !p.passToFallback(c) {
 				p.finish(c, Reply{Verdict: Refused, After: a.After})
 			}
 		case frostshift.Fail:
@@ -193,13 +195,13 @@
 	}
 }
 
-// wake is a timer that the balancer asked for.
+// wake is a timer requested by the balancer or by the pool itself.
 type wake struct {
 	at    frostshift.Time
 	token uint64
 }
 
-// timers is a heap, the one due next first.
+// timers is a heap with the earliest timer first.
 type timers []wake
 
 func (t timers) Len() int { return len(t) }
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -11,110 +11,115 @@
 	"frostshift/internal/verdict"
 )
 
-// PoolConfig is what a pool is made of.
+// PoolConfig configures a pool.
 type PoolConfig struct {
 	Name     string
 	Settings frostshift.Settings
 	Seed     uint64
 	Log      *slog.Logger
 	Upstream Upstream
-	Room     Room   // for open requests; nil: not bounded
-	Watch    func() // the balancer asks for the host list; nil: nobody is asked
-	// Learned is what another process had learned; nil: nothing is known. Repeated is what it had saved up of Repeats;
-	// nil: a new pool's.
+	Room     Room   // for open requests; nil means that they are not bounded
+	Watch    func() // called when the balancer asks for the host list; may be nil
+	// Learned is the learned state of another process; nil if there is none. Repeated is the number
+	// of retries that the other process had left in its budget of Repeats; nil means the initial
+	// budget of a new pool.
 	Learned  *frostshift.Memory
 	Repeated *float64
-	// Banned are the hosts that operators have taken out.
+	// Banned are the hosts that operators have taken out of service.
 	Banned []frostshift.HostID
-	// HostSeen is told of each attempt that shows whether its host is there: it has answered, or
-	// could not be connected to. It is called in the loop; nil: nobody asks.
+	// HostSeen is notified of each attempt that shows whether its host is reachable: the host has
+	// answered, or could not be connected to. It is called in the loop and may be nil.
 	HostSeen func(id frostshift.HostID, answered bool)
-	// AttemptEnded is told how each attempt at a host ended and how long it took, as the balancer is; one that had no
-	// answer for longer than its class's aim when its request ended is TimedOut here. It is called in
-	// the loop and must not wait; nil: nobody asks.
+	// AttemptEnded is notified how each attempt at a host ended and how long it took, as the
+	// balancer is. An attempt that had no answer for at least its class's aim when its request
+	// ended is reported as TimedOut here. It is called in the loop and must not block; it may be
+	// nil.
 	AttemptEnded func(id frostshift.HostID, class int, result frostshift.Result, took frostshift.Time)
-	// InFlightChanged is told of each attempt that goes out to a host, 1, and that it is out no more, -1: it has ended, or
-	// only the body of its answer is to come. It is called in the loop and must not wait; nil: nobody asks.
+	// InFlightChanged is called with 1 for each attempt that is sent to a host, and with -1 when it
+	// is no longer in flight: it has ended, or only the body of its answer is still to come. It is
+	// called in the loop and must not block; it may be nil.
 	InFlightChanged func(id frostshift.HostID, more int)
-	// Scheduler, FleetShare and Limiter share the pool out among teams; all or none.
+	// Scheduler, FleetShare and Limiter divide the pool among teams. Either all or none are set.
 	Scheduler  *contract.Scheduler
 	FleetShare *contract.FleetShare
 	Limiter    *contract.Limiter
-	// Repeats is the share of requests that may be tried again after an attempt that may
-	// have run; 0: all.
+	// Repeats is the maximum ratio of retries to requests, counting retries after an attempt that
+	// may have run; 0 means no limit.
 	Repeats float64
-	// RetryShare makes that budget a part of the whole fleet's; nil: it is this gateway's own.
+	// RetryShare makes that retry budget the gateway's share of a budget of the whole fleet; nil
+	// means that it is the gateway's own.
 	RetryShare verdict.Right
 }
 
-// Pool is a set of hosts with a balancer of its own in an event loop of its own. Hosts,
-// News and the counts are safe for concurrent use.
+// Pool is a set of hosts with its own balancer in its own event loop. UpdateHosts and the counts
+// are safe for concurrent use.
 type Pool struct {
-	name     string
-	set      frostshift.Settings
-	log      *slog.Logger
-	clock    Clock
-	x        *Exchange
-	b        *frostshift.Balancer
-	upstream Upstream
-	room     Room
-	watch    func()
-	saw      func(frostshift.HostID, bool)
-	met      func(frostshift.HostID, int, frostshift.Result, frostshift.Time)
-	tellOut  func(frostshift.HostID, int)
-	learned  *frostshift.Memory // to be taken over behind the first list
-	began    frostshift.Time    // when the loop did
-	advice   time.Duration      // when to come back where the pool itself is full; 0: none
+	name             string
+	set              frostshift.Settings
+	log              *slog.Logger
+	clock            Clock
+	x                *Exchange
+	b                *frostshift.Balancer
+	upstream         Upstream
+	room             Room
+	watch            func()
+	onHostSeen       func(frostshift.HostID, bool)
+	onAttemptEnd     func(frostshift.HostID, int, frostshift.Result, frostshift.Time)
+	onInFlightChange func(frostshift.HostID, int)
+	learned          *frostshift.Memory // learned state to be restored after the first list that names hosts
+	startedAt        frostshift.Time    // when the loop started
+	advice           time.Duration      // retry advice if the pool itself is full; 0 means none
 
-	sched      *contract.Scheduler // nil: no contracts
+	sched      *contract.Scheduler // nil if there are no contracts
 	fleetShare *contract.FleetShare
 	limiter    *contract.Limiter
 	jury       *verdict.Jury
 	repeats    verdict.Budget
-	lookedAt   frostshift.Time // when the scheduler was told of the capacity
-	pumpAt     frostshift.Time // when it is to be asked again; 0: with the next event
+	capacityAt frostshift.Time // when the scheduler was last given the capacity
+	dispatchAt frostshift.Time // when the scheduler is due again; 0 means with the next event
 
 	events chan event
-	quit   chan struct{} // closed: the loop ends once nothing is open
-	done   chan struct{} // closed: it has ended
+	quit   chan struct{} // closed by Drain: the loop ends once nothing is open
+	done   chan struct{} // closed when the loop has ended
 
-	calls    map[frostshift.RequestID]*Call
-	lastID   frostshift.RequestID
-	timers   timers
-	begun    bool                   // Turn has been called
-	listed   bool                   // there was a host list
-	twins    atomic.Int32           // processes that share this instance's part
-	shared   atomic.Pointer[shared] // who shares the hosts, as said last
-	behindAt frostshift.Time        // up to when stalls have been told of
-	acts     []frostshift.Action
+	calls        map[frostshift.RequestID]*Call
+	lastID       frostshift.RequestID
+	timers       timers
+	started      bool                       // RunDue has been called
+	hasList      bool                       // a host list has arrived
+	processes    atomic.Int32               // processes that share this instance's share of what cold hosts may receive
+	fleet        atomic.Pointer[fleetState] // the latest report of the instances that share the hosts
+	stalledUntil frostshift.Time            // the time up to which stalls have been reported
+	actions      []frostshift.Action
 
-	counts  Counts
-	trouble *eventlog.Log
-	ended   [][Failed + 1]atomic.Int64 // requests, by class and how
+	counts     Counts
+	failureLog *eventlog.Log
+	ended      [][Failed + 1]atomic.Int64 // ended requests, by class and verdict
 }
 
 // Counts are a pool's totals since its start.
 type Counts struct {
 	Served, Refused, Failed, HandedOn, Left, Attempts atomic.Int64
-	// Broke are answers whose bodies broke off on the way to the client: they are Failed too.
+	// Broke counts answers whose bodies broke off on the way to the client. They count as Failed
+	// too.
 	Broke atomic.Int64
-	// Results are attempts that brought no good answer, by frostshift.Result.
+	// Results counts attempts without a good answer, by frostshift.Result.
 	Results [frostshift.Busy + 1]atomic.Int64
-	// Faults are errors of the service; Blamed are those held against the host.
+	// Faults counts errors of the service; Blamed counts those attributed to the host.
 	Faults, Blamed atomic.Int64
 }
 
-// eventKind is what an event tells the loop.
+// eventKind is the kind of an event of the loop.
 type eventKind uint8
 
 const (
-	arrived       eventKind = iota // call is new here
-	attemptEnded                   // result, answer and elapsed of attempt
-	attemptFed                     // the last byte of its request has gone out
-	attemptFlows                   // the head of its answer has come
-	attemptFlowed                  // and the body has ended
-	clientGone                     // nobody waits for call
-	do                             // run is to be run
+	arrived       eventKind = iota // call is new to this pool
+	attemptEnded                   // attempt has ended, with result and answer
+	attemptFed                     // the last byte of the attempt's request has been sent
+	attemptFlows                   // the head of the attempt's answer has arrived
+	attemptFlowed                  // the body of the attempt's answer has ended
+	clientGone                     // nobody waits for call any more
+	do                             // run is to be called
 )
 
 type event struct {
@@ -122,23 +127,23 @@
 	result  frostshift.Result
 	call    *Call
 	attempt *Attempt
-	// Of an answer; malformed says that there was none that may be.
+	// These fields describe an answer. malformed means that what came back is no valid answer.
 	answered, malformed bool
 	meaning             verdict.Meaning
 	after               time.Duration
 	answer              Answer
-	at                  frostshift.Time // when the attempt ended
+	at                  frostshift.Time // when the event happened
 	run                 func(now frostshift.Time)
 }
 
-// NewPool prepares a pool of the exchange; Run runs it.
+// NewPool prepares a pool of the exchange. Run starts it.
 func (x *Exchange) NewPool(c PoolConfig) (*Pool, error) {
 	b, err := frostshift.New(c.Settings, c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	p := &Pool{name: c.Name, set: c.Settings, log: c.Log, trouble: eventlog.New(c.Log), clock: x.clock, x: x, b: b, upstream: c.Upstream,
-		room: c.Room, watch: c.Watch, saw: c.HostSeen, met: c.AttemptEnded, tellOut: c.InFlightChanged, learned: c.Learned, sched: c.Scheduler, fleetShare: c.FleetShare, limiter: c.Limiter, advice: c.Settings.MaxRetryAfter,
+	p := &Pool{name: c.Name, set: c.Settings, log: c.Log, failureLog: eventlog.New(c.Log), clock: x.clock, x: x, b: b, upstream: c.Upstream,
+		room: c.Room, watch: c.Watch, onHostSeen: c.HostSeen, onAttemptEnd: c.AttemptEnded, onInFlightChange: c.InFlightChanged, learned: c.Learned, sched: c.Scheduler, fleetShare: c.FleetShare, limiter: c.Limiter, advice: c.Settings.MaxRetryAfter,
 		events: make(chan event, 1024), quit: make(chan struct{}), done: make(chan struct{}),
 		calls: map[frostshift.RequestID]*Call{}, jury: verdict.NewJury(), repeats: verdict.NewBudget(c.Repeats)}
 	if c.RetryShare != nil {
@@ -156,11 +161,11 @@
 	if p.watch == nil {
 		p.watch = func() {}
 	}
-	if p.saw == nil {
-		p.saw = func(frostshift.HostID, bool) {}
+	if p.onHostSeen == nil {
+		p.onHostSeen = func(frostshift.HostID, bool) {}
 	}
-	if p.met == nil {
-		p.met = func(frostshift.HostID, int, frostshift.Result, frostshift.Time) {}
+	if p.onAttemptEnd == nil {
+		p.onAttemptEnd = func(frostshift.HostID, int, frostshift.Result, frostshift.Time) {}
 	}
 	p.ended = make([][Failed + 1]atomic.Int64, len(c.Settings.Classes))
 	for _, c := range c.Settings.Classes {
@@ -169,13 +174,13 @@
 	return p, nil
 }
 
-// Name is the pool's name in the configuration.
+// Name returns the pool's name in the configuration.
 func (p *Pool) Name() string { return p.name }
 
-// Counts are the totals so far.
+// Counts returns the totals so far.
 func (p *Pool) Counts() *Counts { return &p.counts }
 
-// Ended is how many requests of a class have ended so.
+// Ended returns the number of requests of a class that have ended with a verdict.
 func (p *Pool) Ended(class int, v Verdict) int64 {
 	if class >= len(p.ended) || v > Failed {
 		return 0
@@ -183,14 +188,14 @@
 	return p.ended[class][v].Load()
 }
 
-// Done is closed once the loop has ended.
+// Done returns a channel that is closed once the loop has ended.
 func (p *Pool) Done() <-chan struct{} { return p.done }
 
-// Drain lets the loop end once nothing is open; it is called once. Nothing may be
-// submitted from then on.
+// Drain lets the loop end once nothing is open. It may be called only once, and nothing may be
+// submitted after it.
 func (p *Pool) Drain() { close(p.quit) }
 
-// post hands an event to the loop. It is dropped once the loop has ended.
+// post sends an event to the loop. The event is dropped once the loop has ended.
 func (p *Pool) post(e event) {
 	select {
 	case p.events <- e:
@@ -201,14 +206,14 @@
 	}
 }
 
-// UpdateHosts gives the loop a host list. apply runs first, in the loop: there the upstream
-// learns the addresses of hosts before the balancer may name them.
+// UpdateHosts gives the loop a host list. apply runs first, in the loop, so that the upstream knows
+// the addresses of hosts before the balancer can name them. apply may be nil.
 func (p *Pool) UpdateHosts(kind frostshift.ListKind, hosts []frostshift.Host, apply func()) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		if apply != nil {
 			apply()
 		}
-		p.listed = p.listed || kind != frostshift.ListFailed
+		p.hasList = p.hasList || kind != frostshift.ListFailed
 		p.b.Hosts(now, kind, hosts)
 		if len(hosts) > 0 {
 			p.restore(now)
@@ -216,20 +221,22 @@
 	}})
 }
 
-// restore takes over what another process had learned, behind the first list that names hosts. One that comes late finds
-// it worth nothing.
+// restore restores the learned state of another process, after the first list that names hosts. If
+// that list comes later than restoreWithin, the state is dropped as too old.
 func (p *Pool) restore(now frostshift.Time) {
-	if p.learned != nil && now-p.began < restoreWithin {
+	if p.learned != nil && now-p.startedAt < restoreWithin {
 		p.b.Restore(now, p.learned)
 	}
 	p.learned = nil
 }
 
-// restoreWithin is how long what was learned waits for hosts: its ages stand still meanwhile.
+// restoreWithin is how long the learned state waits for hosts, as its ages do not advance
+// meanwhile.
 const restoreWithin = 10 * time.Second
 
-// Ban takes a host out by hand, or has it used again. apply runs first, in the loop, and done
-// once it holds; it does not run where the loop has ended.
+// Ban takes a host out of service by an operator's request, or puts it back into service. apply
+// runs first, in the loop, and done once the change is in effect. Neither runs if the loop has
+// ended.
 func (p *Pool) Ban(id frostshift.HostID, out bool, apply, done func()) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		apply()
@@ -238,8 +245,8 @@
 	}})
 }
 
-// HostHealth gives the balancer what other gateways' outcomes say of hosts; of those that are not the
-// pool's it takes no notice.
+// HostHealth gives the balancer the health of hosts as reported by peers. Hosts that are not in the
+// pool are ignored.
 func (p *Pool) HostHealth(list []frostshift.HostHealth) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		for _, k := range list {
@@ -248,8 +255,8 @@
 	}})
 }
 
-// PeerLoad gives the balancer what other gateways have out at hosts; of those that are not the pool's it takes no
-// notice.
+// PeerLoad gives the balancer the in-flight attempts at hosts as reported by peers. Hosts that are
+// not in the pool are ignored.
 func (p *Pool) PeerLoad(list []frostshift.Crowd) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		for _, k := range list {
@@ -258,34 +265,36 @@
 	}})
 }
 
-// Behind runs f in the loop, behind all that has been posted so far.
+// Behind runs f in the loop, after all events that have been posted so far.
 func (p *Pool) Behind(f func()) {
 	p.post(event{kind: do, run: func(frostshift.Time) { f() }})
 }
 
-// FailAll gives up what is still held: it fails instead of being lost at a kill.
+// FailAll fails all requests that are still open, so that their clients get an answer before the
+// process is killed.
 func (p *Pool) FailAll() {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		for _, c := range p.calls {
 			if !c.closed {
 				p.finish(c, Reply{Verdict: Failed})
-				p.forget(now, c)
+				p.withdraw(now, c)
 			}
 		}
 	}})
 }
 
-// Load is what a pool can take now and what it holds.
+// Load is the current state of a pool: what it can accept and what it holds.
 type Load struct {
-	Ready    bool    // a host can take requests
-	Capacity float64 // attempts that its hosts can hold at once
-	Open     int     // requests
-	Members  int     // hosts that are listed
-	Away     int     // ... and get nothing
-	Pace     float64 // requests a second that hosts which are all cold may get from here; 0: not bounded
+	Ready    bool    // at least one host can take requests
+	Capacity float64 // attempts that its hosts can handle at once
+	Open     int     // open requests
+	Members  int     // listed hosts
+	Away     int     // listed hosts that receive no requests
+	Pace     float64 // requests per second that this gateway may send if all hosts are cold; 0 means no bound
 }
 
-// ReportLoad has the loop say how it stands, to f in the loop; done is closed if it has ended.
+// ReportLoad calls f in the loop with the pool's current load. f is not called if the loop has
+// ended; Done is closed then.
 func (p *Pool) ReportLoad(f func(Load)) {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
 		l := Load{Capacity: p.b.Capacity(now), Open: len(p.calls), Pace: p.b.Pace(now)}
@@ -297,7 +306,7 @@
 	}})
 }
 
-// ReportStatus has the loop say what it goes by, to f in the loop.
+// ReportStatus calls f in the loop with the state on which the balancer bases its decisions.
 func (p *Pool) ReportStatus(f func(frostshift.Standing)) {
 	p.post(event{kind: do, run: func(now frostshift.Time) { f(p.b.Standing(now)) }})
 }
--- a/internal/exchange/twin.go
+++ b/internal/exchange/twin.go
@@ -8,22 +8,23 @@
 	"frostshift"
 )
 
-// Two processes of one gateway keep one register of open ids: each tells the other what it
-// opens, ends and leaves in doubt, as hashes under a seed that both have.
+// During a hot restart the two sibling processes of one gateway share one register of open ids:
+// each notifies the other of the ids that it opens, ends or leaves in an unknown state, as hashes
+// under a common seed.
 
-// Sibling is the other process, as far as it is told. It is called with a lock held and must not
-// wait.
+// Sibling is the other process, as a receiver of notes. Note is called with a lock held and must
+// not block.
 type Sibling interface{ Note(text []byte) }
 
-// What a note says of a hash.
+// The kinds of notes. A note is its kind and a hash.
 const (
 	noteOpen = 'o' // a request of this id is open
-	noteEnd  = 'e' // it has ended
-	noteLost = 'l' // it may have run, and its client was not told
+	noteEnd  = 'e' // the request has ended
+	noteLost = 'l' // the request may have run, and its client was not notified
 	noteLen  = 9
 )
 
-// hashOf is an id as both processes know it.
+// hashOf returns the hash of an id that both processes use.
 func (x *Exchange) hashOf(id string) uint64 {
 	var d xxhash.Digest
 	d.ResetWithSeed(x.seed.Load())
@@ -31,18 +32,18 @@
 	return d.Sum64()
 }
 
-// Register is what a process that takes over must know of ids.
+// Register is what a process that takes over must know about ids.
 type Register struct {
 	Seed       uint64
 	Open, Lost []uint64
 }
 
-// Adopt takes over the register of the process that runs, before the first request.
+// Adopt takes over the register of the running process. It must be called before the first request.
 func (x *Exchange) Adopt(r *Register) {
 	x.seed.Store(r.Seed)
 	now := x.clock.Now()
 	for _, h := range r.Open {
-		x.shardOf(h).elsewhere(h, true)
+		x.shardOf(h).setRemote(h, true)
 	}
 	for _, h := range r.Lost {
 		s := x.shardOf(h)
@@ -52,8 +53,8 @@
 	}
 }
 
-// Link has another process told of all that becomes of ids from now on, and returns what has
-// up to then. With nil none is told any more.
+// Link starts notifying t of all changes to ids, and returns the register up to this point. With
+// nil it stops the notifications.
 func (x *Exchange) Link(t Sibling) (r Register) {
 	for i := range x.ids {
 		x.ids[i].mu.Lock()
@@ -62,7 +63,7 @@
 	now := x.clock.Now()
 	for i := range x.ids {
 		s := &x.ids[i]
-		s.twin = t
+		s.sibling = t
 		for id := range s.open {
 			r.Open = append(r.Open, x.hashOf(id))
 		}
@@ -74,8 +75,8 @@
 	return r
 }
 
-// Orphan notes that the other process has gone: what was open there and has not ended may have
-// run, and nobody will say.
+// Orphan reports that the sibling process has gone: requests that were open there and have not
+// ended may have run, and no note about them will come.
 func (x *Exchange) Orphan() {
 	now := x.clock.Now()
 	for i := range x.ids {
@@ -89,14 +90,14 @@
 	}
 }
 
-// ApplyNotes takes what the other process tells.
+// ApplyNotes applies the notes of the sibling process.
 func (x *Exchange) ApplyNotes(text []byte) {
 	now := x.clock.Now()
 	for ; len(text) >= noteLen; text = text[noteLen:] {
 		h := binary.BigEndian.Uint64(text[1:])
 		switch s := x.shardOf(h); text[0] {
 		case noteOpen, noteEnd:
-			s.elsewhere(h, text[0] == noteOpen)
+			s.setRemote(h, text[0] == noteOpen)
 		case noteLost:
 			s.mu.Lock()
 			s.lost.Note(now, h)
@@ -107,11 +108,11 @@
 
 func (x *Exchange) shardOf(h uint64) *idShard { return &x.ids[h%uint64(len(x.ids))] }
 
-// mostRemote bounds what another process may name as open, in a shard.
-const mostRemote = 1 << 14
+// maxRemote bounds the ids that the sibling process may report as open, per shard.
+const maxRemote = 1 << 14
 
-// elsewhere notes that an id is open at the other process, or is not any more.
-func (s *idShard) elsewhere(h uint64, open bool) {
+// setRemote records that an id is open at the sibling process, or no longer is.
+func (s *idShard) setRemote(h uint64, open bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !open {
@@ -121,59 +122,60 @@
 	if s.remote == nil {
 		s.remote = map[uint64]struct{}{}
 	}
-	if len(s.remote) < mostRemote {
+	if len(s.remote) < maxRemote {
 		s.remote[h] = struct{}{}
 	}
 }
 
-// tell tells the other process, if there is one. The lock is held.
-func (s *idShard) tell(what byte, h uint64) {
-	if s.twin != nil {
+// notify sends a note to the sibling process, if there is one. The caller holds the lock.
+func (s *idShard) notify(what byte, h uint64) {
+	if s.sibling != nil {
 		var b [noteLen]byte
 		b[0] = what
 		binary.BigEndian.PutUint64(b[1:], h)
-		s.twin.Note(b[:])
+		s.sibling.Note(b[:])
 	}
 }
 
-// SetProcesses says how many processes share this instance's part of what hosts that have just
-// started may get. It does not wait for the loop; what was said last holds.
+// SetProcesses sets how many processes divide among them this instance's share of what hosts that
+// have just started may receive. It does not wait for the loop; the latest call wins.
 func (p *Pool) SetProcesses(n int) {
-	p.twins.Store(int32(n))
-	go p.post(event{kind: do, run: func(now frostshift.Time) { p.b.Twins(now, int(p.twins.Load())) }})
+	p.processes.Store(int32(n))
+	go p.post(event{kind: do, run: func(now frostshift.Time) { p.b.Twins(now, int(p.processes.Load())) }})
 }
 
-// Fleet says who shares the hosts, and how many gateways at most share what contracts state for
-// all. It does not wait for the loop; what was said last holds.
-func (p *Pool) Fleet(k frostshift.Fleet, most int) {
-	p.shared.Store(&shared{k, most})
-	go p.tellFleet()
+// Fleet sets which instances share the hosts, and the maximum number of gateways that share the
+// limits that contracts state for the whole fleet. It does not wait for the loop; the latest call
+// wins.
+func (p *Pool) Fleet(k frostshift.Fleet, maxInstances int) {
+	p.fleet.Store(&fleetState{k, maxInstances})
+	go p.postFleet()
 }
 
-// FleetNow is Fleet for a caller that may wait until the loop has room for it.
-func (p *Pool) FleetNow(k frostshift.Fleet, most int) {
-	p.shared.Store(&shared{k, most})
-	p.tellFleet()
+// FleetNow is like Fleet, for a caller that may wait until the loop has room for the event.
+func (p *Pool) FleetNow(k frostshift.Fleet, maxInstances int) {
+	p.fleet.Store(&fleetState{k, maxInstances})
+	p.postFleet()
 }
 
-func (p *Pool) tellFleet() {
+func (p *Pool) postFleet() {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
-		s := p.shared.Load()
+		s := p.fleet.Load()
 		p.b.Fleet(now, s.fleet)
 		if p.fleetShare != nil {
-			p.fleetShare.SetInstances(s.most)
+			p.fleetShare.SetInstances(s.maxInstances)
 		}
 	}})
 }
 
-// shared is what Fleet was told last.
-type shared struct {
-	fleet frostshift.Fleet
-	most  int
+// fleetState holds the arguments of the latest call of Fleet.
+type fleetState struct {
+	fleet        frostshift.Fleet
+	maxInstances int
 }
 
-// Memory has the loop give what its balancer has learned, and how many repeats are saved up, to f; it does not where it
-// has ended.
+// Memory calls f in the loop with the learned state of the balancer and the number of retries left
+// in the budget. f is not called if the loop has ended.
 func (p *Pool) Memory(f func(m frostshift.Memory, repeats float64)) {
 	p.post(event{kind: do, run: func(now frostshift.Time) { f(p.b.Memory(now), p.repeats.Saved()) }})
 }
--- a/internal/exchange/twin_test.go
+++ b/internal/exchange/twin_test.go
@@ -38,8 +38,8 @@
 		}
 		claim(old, "before")
 		claim(old, "doubt")
-		old.remember("doubt")
-		old.free("doubt")
+		old.rememberLost("doubt")
+		old.releaseID("doubt")
 		r := old.Link(&wire{to: next})
 		next.Adopt(&r)
 		next.Link(&wire{to: old})
@@ -54,8 +54,8 @@
 				t.Errorf("%s: %s, want %s", c.id, got, c.want)
 			}
 		}
-		old.free("before")
-		old.remember("later")
+		old.releaseID("before")
+		old.rememberLost("later")
 		synctest.Wait()
 		if got := claim(next, "before"); got != "taken" {
 			t.Errorf("it has ended there: %s", got)
