--- a/internal/outcome/store.go
+++ b/internal/outcome/store.go
@@ -1,72 +1,72 @@
-// Package outcome stores for a bounded time, in bounded memory, which requests may have run
-// although their clients were never told how they ended. A client whose connection was lost
-// under its request may send it again with the same id; the store is what keeps the effect
-// from happening twice. It does no I/O, reads no clock and knows nothing of requests but a
-// number each.
+// Package outcome records, for a bounded time and in bounded memory, which requests may have run
+// although their clients were not notified how they ended. A client whose connection was lost during
+// a request may send it again with the same id; the store prevents the effect from happening twice.
+// The package performs no I/O, the caller passes the time, and a request is represented by a number.
 package outcome
 
 import "frostshift"
 
-// Store is a set of numbers that each stay for a span of time at the least and twice it at
-// the most, in two generations: the older is forgotten whole, so no entry has a timer. Where
-// too many come, generations are shorter. A Store is not safe for concurrent use.
+// Store is a set of numbers, each of which is kept for at least one span of time and at most two. It
+// consists of two generations, of which the previous one is dropped as a whole, so that no entry
+// needs a timer. If a generation is full, it ends early. A Store is not safe for concurrent use.
 type Store struct {
-	span  frostshift.Time
-	most  int
-	young map[uint64]struct{}
-	old   map[uint64]struct{}
-	since frostshift.Time // when young began
-	early int64
+	span     frostshift.Time
+	maxSize  int
+	current  map[uint64]struct{}
+	previous map[uint64]struct{}
+	since    frostshift.Time // when current began
+	early    int64           // generations that have ended before their time
 }
 
-// New returns an empty store for a span, with most numbers in a generation.
-func New(span frostshift.Time, most int) *Store { return &Store{span: span, most: most} }
+// New returns an empty store for a span, with at most maxSize numbers per generation.
+func New(span frostshift.Time, maxSize int) *Store { return &Store{span: span, maxSize: maxSize} }
 
-// Note remembers a number from now on.
+// Note adds a number, or renews it, as of now.
 func (m *Store) Note(now frostshift.Time, key uint64) {
-	m.turn(now)
-	if _, there := m.young[key]; !there && len(m.young) >= m.most {
+	m.expire(now)
+	if _, exists := m.current[key]; !exists && len(m.current) >= m.maxSize {
 		m.early++
-		m.next()
+		m.rotate()
 		m.since = now
 	}
-	if m.young == nil {
-		m.young = map[uint64]struct{}{}
+	if m.current == nil {
+		m.current = map[uint64]struct{}{}
 	}
-	m.young[key] = struct{}{}
+	m.current[key] = struct{}{}
 }
 
-// Has says whether the number is remembered.
+// Has reports whether the number is in the store.
 func (m *Store) Has(now frostshift.Time, key uint64) bool {
-	m.turn(now)
-	if _, ok := m.young[key]; ok {
+	m.expire(now)
+	if _, ok := m.current[key]; ok {
 		return true
 	}
-	_, ok := m.old[key]
+	_, ok := m.previous[key]
 	return ok
 }
 
-// Early is how many generations have ended before their time, for want of room.
+// Early returns the number of generations that have ended before their time, for lack of room.
 func (m *Store) Early() int64 { return m.early }
 
-// turn ends generations whose time is over.
-func (m *Store) turn(now frostshift.Time) {
+// expire ends generations whose time is over.
+func (m *Store) expire(now frostshift.Time) {
 	switch age := now - m.since; {
 	case age >= 2*m.span:
-		m.young, m.old, m.since = nil, nil, now
+		m.current, m.previous, m.since = nil, nil, now
 	case age >= m.span:
-		m.next()
+		m.rotate()
 		m.since += m.span
 	}
 }
 
-func (m *Store) next() { m.young, m.old = nil, m.young }
+// rotate starts a new generation and drops the previous one.
+func (m *Store) rotate() { m.current, m.previous = nil, m.current }
 
-// All is the numbers that are remembered, in no order; some may stand in it twice.
+// All returns the numbers in the store, in no particular order and possibly with duplicates.
 func (m *Store) All(now frostshift.Time) []uint64 {
-	m.turn(now)
-	out := make([]uint64, 0, len(m.young)+len(m.old))
-	for _, generation := range [...]map[uint64]struct{}{m.young, m.old} {
+	m.expire(now)
+	out := make([]uint64, 0, len(m.current)+len(m.previous))
+	for _, generation := range [...]map[uint64]struct{}{m.current, m.previous} {
 		for key := range generation {
 			out = append(out, key)
 		}
--- a/internal/outcome/store_test.go
+++ b/internal/outcome/store_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// Beside a plain list of all that was ever noted: nothing is forgotten before the span is
-// over unless there was no room, nothing is known longer than twice the span, and nothing
-// that was never noted; room is kept to.
+// Compares the store with a plain list of all noted numbers: none is dropped before the span is over
+// unless there was no room, none is kept for more than two spans, none is reported that was never
+// noted, and no generation exceeds its maximum size.
 func TestAgainstAPlainList(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const span = 10 * time.Second
-		most := rapid.IntRange(1, 40).Draw(rt, "most")
-		m := New(span, most)
+		maxSize := rapid.IntRange(1, 40).Draw(rt, "most")
+		m := New(span, maxSize)
 		last := map[uint64]frostshift.Time{} // when each was noted last
 		now := frostshift.Time(rapid.Int64Range(0, int64(time.Hour)).Draw(rt, "start"))
 		for range rapid.IntRange(1, 200).Draw(rt, "steps") {
@@ -25,19 +25,19 @@
 				m.Note(now, key)
 				last[key] = now
 				if !m.Has(now, key) {
-					rt.Fatal("what was noted just now is not known")
+					rt.Fatal("a number that was just noted is missing")
 				}
 			}
 			at, noted := last[key]
 			has := m.Has(now, key)
 			if has && (!noted || now-at > 2*span) {
-				rt.Fatalf("known, though noted %v, %v ago", noted, now-at)
+				rt.Fatalf("present, noted: %v, %v ago", noted, now-at)
 			}
 			if !has && noted && now-at < span && m.Early() == 0 {
-				rt.Fatalf("forgotten after %v with room left", now-at)
+				rt.Fatalf("dropped after %v with room left", now-at)
 			}
-			if len(m.young) > most || len(m.old) > most {
-				rt.Fatalf("%d and %d are held, %d may be", len(m.young), len(m.old), most)
+			if len(m.current) > maxSize || len(m.previous) > maxSize {
+				rt.Fatalf("the generations hold %d and %d numbers, maximum %d", len(m.current), len(m.previous), maxSize)
 			}
 		}
 	})
