--- a/internal/exchange/events_test.go
+++ b/internal/exchange/events_test.go
@@ -12,26 +12,26 @@
 	"frostshift/internal/eventlog"
 )
 
-// What ends badly is logged with its request's id, its attempt and its host; a flood is a line of each kind a
-// second, which counts the rest.
+// Failed attempts and requests are logged with the request's id, the attempt and the host. Under many
+// failures at most one line of each kind is logged per second, and it counts the lines left out.
 func TestTroubleIsLoggedWithItsIds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var text bytes.Buffer
 		x := New(NewClock())
-		p := stillPool(t, x, "a", newUpstream(always(frostshift.Reset, time.Millisecond)), nil)
+		p := newIdlePool(t, x, "a", newUpstream(always(frostshift.Reset, time.Millisecond)), nil)
 		p.failureLog = eventlog.New(slog.New(slog.NewTextHandler(&text, nil)))
 		go p.Run(nil, nil)
 		p.UpdateHosts(frostshift.ListFull, hostsOf(6), nil)
-		ask := func(id string) {
+		mustFail := func(id string) {
 			if r := <-x.ask(1, id, p, nil).Reply; r.Verdict != Failed {
 				t.Errorf("%s: %+v", id, r)
 			}
 		}
 		for range 50 {
-			ask("flood")
+			mustFail("flood")
 		}
 		time.Sleep(2 * eventlog.Every)
-		ask("last")
+		mustFail("last")
 		synctest.Wait()
 		p.Drain()
 		<-p.Done()
@@ -44,10 +44,10 @@
 			t.Errorf("%v lines of each kind:\n%s", kinds, text.String())
 		}
 		if !strings.Contains(lines[0], "request=flood attempt=1 host=") {
-			t.Errorf("the attempt's line: %s", lines[0])
+			t.Errorf("the line of the attempt: %s", lines[0])
 		}
 		if n := p.Counts().Results[frostshift.Reset].Load(); n != 51 {
-			t.Errorf("%d attempts are counted", n)
+			t.Errorf("%d attempts with result Reset were counted, want 51", n)
 		}
 	})
 }
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -10,8 +10,8 @@
 	"frostshift/internal/contract"
 )
 
-// An unsafe request that was sent on one pool is never sent on another, however that
-// attempt ended, unless it is sure that it did not run. One that was sent nowhere goes on.
+// A request of which an attempt at one pool may have run is never passed to another pool, however that
+// attempt ended. A request that certainly did not run goes to the fallback.
 func TestFallbackNeverRepeatsAnEffect(t *testing.T) {
 	for _, c := range []struct {
 		class  int
@@ -33,13 +33,13 @@
 			a, b := newPool(t, x, "a", first, 1, nil), newPool(t, x, "b", second, 1, nil)
 			r := <-x.ask(c.class, "r", a, b).Reply
 			if went := second.tries["r"] > 0; went != c.goes {
-				t.Errorf("class %d after %v: at the fallback: %v, want %v", c.class, c.result, went, c.goes)
+				t.Errorf("class %d after %v: sent to the fallback: %v, want %v", c.class, c.result, went, c.goes)
 			}
 			if c.goes && (r.Verdict != Served || r.Pool != "b") || !c.goes && c.class == 1 && r.Verdict != Failed {
 				t.Errorf("class %d after %v: %+v", c.class, c.result, r)
 			}
 			if n := first.tries["r"] + second.tries["r"]; n > 4 || r.Tries != n {
-				t.Errorf("class %d after %v: %d attempts, said to be %d", c.class, c.result, n, r.Tries)
+				t.Errorf("class %d after %v: %d attempts, but the reply states %d", c.class, c.result, n, r.Tries)
 			}
 			a.Drain()
 			b.Drain()
@@ -52,13 +52,13 @@
 	}
 }
 
-// A pool whose list is empty, or whose hosts are all out, passes everything on at once; a
-// pool that is only full does not let its load spill.
+// A pool without hosts in its list passes all requests to the fallback at once; a pool that is merely
+// overloaded does not pass its load on.
 func TestFallbackIsForPoolsWithoutHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := New(NewClock())
-		slow, spare := newUpstream(always(frostshift.OK, 900*time.Millisecond)), newUpstream(always(frostshift.OK, time.Millisecond))
-		a, b := newPool(t, x, "a", slow, 0, nil), newPool(t, x, "b", spare, 1, nil)
+		primary, secondary := newUpstream(always(frostshift.OK, 900*time.Millisecond)), newUpstream(always(frostshift.OK, time.Millisecond))
+		a, b := newPool(t, x, "a", primary, 0, nil), newPool(t, x, "b", secondary, 1, nil)
 		if r := <-x.ask(1, "none", a, b).Reply; r.Verdict != Served || r.Pool != "b" {
 			t.Errorf("without hosts: %+v", r)
 		}
@@ -72,7 +72,7 @@
 				t.Errorf("a full pool's request went to %q", r.Pool)
 			}
 		}
-		a.UpdateHosts(frostshift.ListFull, nil, nil) // the list empties
+		a.UpdateHosts(frostshift.ListFull, nil, nil) // the list becomes empty
 		if r := <-x.ask(1, "empty", a, b).Reply; r.Verdict != Served || r.Pool != "b" {
 			t.Errorf("with an empty list: %+v", r)
 		}
@@ -86,15 +86,15 @@
 	})
 }
 
-// The attempts at both pools together are four at most: what has had them all at the one
-// is not handed on, though its host has gone and nothing ran.
+// A request has at most four attempts at both pools together: a request that has used them all at one
+// pool is not passed to the other, even if its hosts have gone and no attempt has run.
 func TestFallbackGetsNoFifthAttempt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := New(NewClock())
 		var a *Pool
 		n := 0
 		first := newUpstream(func(*Attempt) (frostshift.Result, time.Duration) {
-			if n++; n == 4 { // the list empties while the fourth is out
+			if n++; n == 4 { // the list becomes empty while the fourth attempt is in flight
 				a.UpdateHosts(frostshift.ListFull, nil, nil)
 			}
 			return frostshift.NotSent, 5 * time.Millisecond
@@ -113,24 +113,24 @@
 	})
 }
 
-// A pool that has had no list yet does not pass for one without hosts: what comes waits for the
-// list, and goes on only if none comes while it may wait.
+// A pool that has received no list yet is not treated as one without hosts: requests wait for the
+// list and go to the fallback only if none arrives within the time that they may wait.
 func TestFallbackWaitsForTheFirstList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := New(NewClock())
-		u, spare := newUpstream(always(frostshift.OK, time.Millisecond)), newUpstream(always(frostshift.OK, time.Millisecond))
-		a, b := stillPool(t, x, "a", u, nil), newPool(t, x, "b", spare, 1, nil)
+		u, secondary := newUpstream(always(frostshift.OK, time.Millisecond)), newUpstream(always(frostshift.OK, time.Millisecond))
+		a, b := newIdlePool(t, x, "a", u, nil), newPool(t, x, "b", secondary, 1, nil)
 		go a.Run(nil, nil)
 		early := x.ask(1, "early", a, b)
 		synctest.Wait()
 		a.UpdateHosts(frostshift.ListFull, hostsOf(1), nil)
 		if r := <-early.Reply; r.Verdict != Served || r.Pool != "a" {
-			t.Errorf("before the list: %+v", r)
+			t.Errorf("submitted before the first list: %+v", r)
 		}
-		c := stillPool(t, x, "c", u, nil)
+		c := newIdlePool(t, x, "c", u, nil)
 		go c.Run(nil, nil)
 		if r := <-x.ask(1, "never", c, b).Reply; r.Verdict != Served || r.Pool != "b" {
-			t.Errorf("where no list comes: %+v", r)
+			t.Errorf("without any list: %+v", r)
 		}
 		for _, p := range []*Pool{a, b, c} {
 			p.Drain()
@@ -139,8 +139,8 @@
 	})
 }
 
-// A request that is held back goes when its time has come and not before; nothing goes out for one
-// whose client left, and one that a stop finds held back has its answer.
+// A delayed request is sent after its delay and not before. Nothing is sent for one whose client has
+// left, and one that is still delayed at a shutdown gets an answer.
 func TestHeldBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := New(NewClock())
@@ -149,36 +149,36 @@
 		ask := func(id string, wait time.Duration) *Call {
 			return x.Submit(Request{ID: id, Class: 1, Tenant: -1, Deadline: x.clock.Now() + time.Second, Wait: wait, Message: id}, p, nil)
 		}
-		began := x.clock.Now()
+		start := x.clock.Now()
 		first, left, last := ask("first", 300*time.Millisecond), ask("left", 200*time.Millisecond), ask("last", 500*time.Millisecond)
 		left.Gone()
-		if r := <-first.Reply; r.Verdict != Served || x.clock.Now()-began < 300*time.Millisecond || x.clock.Now()-began > 310*time.Millisecond {
-			t.Errorf("it is served after %v: %+v", x.clock.Now()-began, r)
+		if r := <-first.Reply; r.Verdict != Served || x.clock.Now()-start < 300*time.Millisecond || x.clock.Now()-start > 310*time.Millisecond {
+			t.Errorf("the first request was answered after %v: %+v", x.clock.Now()-start, r)
 		}
 		p.FailAll()
 		if r := <-last.Reply; r.Verdict != Failed || r.Tries != 0 {
-			t.Errorf("held back at a stop: %+v", r)
+			t.Errorf("delayed at a shutdown: %+v", r)
 		}
 		time.Sleep(time.Second)
 		if u.tries["left"]+u.tries["last"] > 0 {
-			t.Error("something went out for a request that nobody waits for")
+			t.Error("an attempt was made for a request that nobody waits for")
 		}
 		p.Drain()
 		<-p.Done()
 		if x.Open() != 0 {
-			t.Errorf("%d are open", x.Open())
+			t.Errorf("%d requests are open", x.Open())
 		}
 	})
 }
 
-// Two pools that are each other's fallback: a request goes on once and is then refused.
+// If two pools are each other's fallback, a request is passed on once and is then refused.
 func TestFallbacksDoNotBounce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := New(NewClock())
 		u := newUpstream(always(frostshift.OK, time.Millisecond))
 		a, b := newPool(t, x, "a", u, 0, nil), newPool(t, x, "b", u, 0, nil)
 		var calls []*Call
-		for i := range 3000 { // more than a loop's events hold
+		for i := range 3000 { // more than the channel of a loop's events holds
 			to, fallback := a, b
 			if i%2 == 1 {
 				to, fallback = b, a
@@ -197,8 +197,8 @@
 	})
 }
 
-// The attempt is called off before the client has its answer, not after: from the answer
-// on, nothing of the request may be out. Nothing comes after it either.
+// An attempt is canceled before the client gets its answer, not after: once the client has the answer,
+// no attempt may be in flight. No second answer follows either.
 func TestAnswerComesAfterTheCallOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := New(NewClock())
@@ -206,20 +206,20 @@
 		p := newPool(t, x, "a", u, 3, nil)
 		for class, want := range map[int]Verdict{0: Refused, 1: Failed, 2: Failed} {
 			id := fmt.Sprint("r", class)
-			began := time.Now()
+			start := time.Now()
 			c := x.ask(class, id, p, nil)
 			r := <-c.Reply
 			u.mu.Lock()
-			offs, tries := u.offs, u.tries[id]
+			cancels, tries := u.cancels, u.tries[id]
 			u.mu.Unlock()
-			if took := time.Since(began); r.Verdict != want || took >= time.Second || offs == 0 {
-				t.Errorf("class %d: %+v after %v, %d called off", class, r, took, offs)
+			if took := time.Since(start); r.Verdict != want || took >= time.Second || cancels == 0 {
+				t.Errorf("class %d: %+v after %v, %d attempts canceled", class, r, took, cancels)
 			}
 			synctest.Wait()
 			time.Sleep(3 * time.Second)
 			u.mu.Lock()
-			if u.tries[id] != tries || u.out[id] != 0 || len(c.Reply) != 0 {
-				t.Errorf("class %d: something went out or came after the answer", class)
+			if u.tries[id] != tries || u.inFlight[id] != 0 || len(c.Reply) != 0 {
+				t.Errorf("class %d: an attempt was made or an answer received after the answer", class)
 			}
 			u.mu.Unlock()
 		}
@@ -238,12 +238,12 @@
 			t.Errorf("in another pool: %+v", r)
 		}
 		second := x.ask(0, "same", b, nil)
-		second.Gone() // must not end the one that is open
+		second.Gone() // must not end the request that is open
 		if r := <-first.Reply; r.Verdict != Served {
 			t.Errorf("the first: %+v", r)
 		}
 		if r := <-x.ask(0, "same", b, nil).Reply; r.Verdict != Served {
-			t.Errorf("when it is open no more: %+v", r)
+			t.Errorf("once the first is not open any more: %+v", r)
 		}
 		a.Drain()
 		b.Drain()
@@ -257,8 +257,8 @@
 	{Team: "b", Share: 0.2, Ceiling: 0.5, Classes: map[string]contract.ClassTerms{"c": {}}},
 }
 
-// A budget that is used up in the middle of a request's attempts: there is no further
-// one, and the answer is honest about what may have run.
+// If the retry budget is exhausted during a request, it gets no further attempt, and the answer is
+// truthful about what may have run.
 func TestRetryBudgetEndsARequest(t *testing.T) {
 	for _, c := range []struct {
 		class  int
@@ -266,30 +266,30 @@
 		want   Verdict
 	}{
 		{0, frostshift.Reset, Refused}, {1, frostshift.ConnectFailed, Refused}, {2, frostshift.ConnectFailed, Refused},
-		{2, frostshift.Reset, Failed}, // a key's attempt that may have run
-		{1, frostshift.Reset, Failed}, // has no further attempt in any case
+		{2, frostshift.Reset, Failed}, // an attempt of a keyed request that may have run
+		{1, frostshift.Reset, Failed}, // an unsafe request has no further attempt in any case
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			x := New(NewClock())
 			u := newUpstream(always(c.result, time.Millisecond))
-			p := stillPool(t, x, "a", u, nil)
+			p := newIdlePool(t, x, "a", u, nil)
 			p.sched, p.fleetShare, p.limiter = contract.NewScheduler(1), contract.NewFleetShare(1), contract.NewLimiter(100, 100)
 			go p.Run(nil, nil)
 			p.UpdateHosts(frostshift.ListFull, hostsOf(6), nil)
-			poor := &contract.Terms{Team: "poor", Share: 1, Classes: map[string]contract.ClassTerms{"c": {}}}
+			noRetryTerms := &contract.Terms{Team: "poor", Share: 1, Classes: map[string]contract.ClassTerms{"c": {}}}
 			ask := func(id string) Reply {
-				account, v := p.limiter.Enter(poor, 0, false, x.clock.Now())
+				account, v := p.limiter.Enter(noRetryTerms, 0, false, x.clock.Now())
 				if v != nil {
 					t.Fatal(v)
 				}
 				defer p.limiter.Leave(account, 0)
 				deadline := x.clock.Now() + time.Second
 				return <-x.Submit(Request{ID: id, Class: c.class, Tenant: -1, Deadline: deadline, Message: id,
-					Item: &contract.Item{Terms: poor, Account: account, Class: c.class, Deadline: deadline}}, p, nil).Reply
+					Item: &contract.Item{Terms: noRetryTerms, Account: account, Class: c.class, Deadline: deadline}}, p, nil).Reply
 			}
 			first, second := ask("first"), ask("second")
-			if c.class == 0 && first.Tries != 2 { // the one repeat that any team has
-				t.Errorf("class %d, %v: the first had %d attempts", c.class, c.result, first.Tries)
+			if c.class == 0 && first.Tries != 2 { // every team has one retry
+				t.Errorf("class %d, %v: the first request had %d attempts", c.class, c.result, first.Tries)
 			}
 			if second.Verdict != c.want || second.Tries != 1 || u.tries["second"] != 1 {
 				t.Errorf("class %d, %v: %+v after %d attempts", c.class, c.result, second, u.tries["second"])
@@ -300,20 +300,20 @@
 			synctest.Wait()
 			p.Drain()
 			<-p.Done()
-			if out, waiting, _ := p.sched.Counts(); out+waiting > 0 || x.Open() > 0 {
-				t.Errorf("%d out, %d wait, %d open", out, waiting, x.Open())
+			if inFlight, waiting, _ := p.sched.Counts(); inFlight+waiting > 0 || x.Open() > 0 {
+				t.Errorf("%d in flight, %d waiting, %d open", inFlight, waiting, x.Open())
 			}
 		})
 	}
 }
 
-// Requests that can't have their turn in time are refused with a time to come back, while
-// another team's have theirs.
+// Requests of a team beyond its share that cannot be scheduled in time are refused with retry advice,
+// while the requests of another team are served.
 func TestFloodIsRefusedOthersAreServed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := New(NewClock())
 		u := newUpstream(always(frostshift.OK, 50*time.Millisecond))
-		p := stillPool(t, x, "a", u, nil)
+		p := newIdlePool(t, x, "a", u, nil)
 		p.sched, p.fleetShare, p.limiter = contract.NewScheduler(1), contract.NewFleetShare(1), contract.NewLimiter(10_000, 100)
 		go p.Run(nil, nil)
 		p.UpdateHosts(frostshift.ListFull, hostsOf(2), nil)
@@ -354,24 +354,24 @@
 	})
 }
 
-// A host's start is on the balancers' clock, on which 0 means long ago.
+// The start of a host is on the balancers' clock, on which 0 means long ago.
 func TestStartIsOnTheClock(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := NewClock()
 		if got := c.Now() - UnixMilli(time.Now().Add(-3*time.Second).UnixMilli()); got < 3*time.Second || got > 3*time.Second+time.Millisecond {
-			t.Errorf("a start three seconds ago lies %v back", got)
+			t.Errorf("a start three seconds ago is %v ago on the clock", got)
 		}
 		if UnixMilli(0) != 0 {
-			t.Error("0 is not kept")
+			t.Error("UnixMilli(0) is not 0")
 		}
 		if d := time.Until(c.At(c.Now())); d != 0 {
-			t.Errorf("now and back is off by %v", d)
+			t.Errorf("converting the current time to system time is off by %v", d)
 		}
 	})
 }
 
-// Who asks how attempts ended is told of one that had no answer when its request's time was over, and not
-// of one whose client left within the aim.
+// PoolConfig.AttemptEnded receives TimedOut for an attempt that had no answer when its request ended
+// after the aim, and Canceled if the client left within the aim.
 func TestMetIsToldOfSilence(t *testing.T) {
 	for _, c := range []struct {
 		leaves time.Duration
@@ -379,11 +379,11 @@
 	}{{time.Hour, frostshift.TimedOut}, {300 * time.Millisecond, frostshift.TimedOut}, {50 * time.Millisecond, frostshift.Canceled}} {
 		synctest.Test(t, func(t *testing.T) {
 			x := New(NewClock())
-			p := stillPool(t, x, "a", newUpstream(always(frostshift.OK, time.Hour)), nil)
+			p := newIdlePool(t, x, "a", newUpstream(always(frostshift.OK, time.Hour)), nil)
 			var met []frostshift.Result
 			p.onAttemptEnd = func(_ frostshift.HostID, _ int, r frostshift.Result, took frostshift.Time) {
 				if met = append(met, r); took < min(c.leaves, 900*time.Millisecond) {
-					t.Errorf("it took %v", took)
+					t.Errorf("the reported duration is %v", took)
 				}
 			}
 			go p.Run(nil, nil)
@@ -397,14 +397,14 @@
 			p.Drain()
 			<-p.Done()
 			if len(met) != 1 || met[0] != c.want {
-				t.Errorf("a client that leaves after %v: told %v, want %v", c.leaves, met, c.want)
+				t.Errorf("a client that leaves after %v: reported %v, want %v", c.leaves, met, c.want)
 			}
 		})
 	}
 }
 
-// What another process had learned is taken over behind the first list that names hosts, be that one known at the start or
-// one that comes, and not behind one that comes late.
+// The learned state of another process is restored after the first list that names hosts, whether that
+// list is known at the start or arrives later, but not after a list that arrives too late.
 func TestLearnedWaitsForTheFirstList(t *testing.T) {
 	for _, c := range []struct {
 		saved bool
@@ -412,7 +412,7 @@
 		want  bool
 	}{{true, 0, true}, {false, 0, true}, {false, 2 * time.Second, true}, {false, 2 * restoreWithin, false}} {
 		synctest.Test(t, func(t *testing.T) {
-			p := stillPool(t, New(NewClock()), "a", newUpstream(always(frostshift.OK, time.Millisecond)), nil)
+			p := newIdlePool(t, New(NewClock()), "a", newUpstream(always(frostshift.OK, time.Millisecond)), nil)
 			p.repeats.Begin(2)
 			p.repeats.Begin(99)
 			p.repeats.Begin(-1)
@@ -428,7 +428,7 @@
 			got := make(chan frostshift.Memory, 1)
 			p.Memory(func(m frostshift.Memory, repeats float64) {
 				if got <- m; repeats != 2 {
-					t.Errorf("%.1f repeats are saved up", repeats)
+					t.Errorf("%.1f retries are left in the budget, want 2", repeats)
 				}
 			})
 			m := <-got
--- a/internal/exchange/fair.go
+++ b/internal/exchange/fair.go
@@ -84,9 +84,9 @@
 		return
 	}
 	now := p.clock.Now()
-	work, cut := c.workUntil(now), c.interrupted || c.running > 0
+	work, interrupted := c.workUntil(now), c.interrupted || c.running > 0
 	c.work, c.interrupted = 0, false
-	p.sched.Done(now, c.Item, work, cut)
+	p.sched.Done(now, c.Item, work, interrupted)
 }
 
 // maySend reports whether the balancer's next attempt may be sent: the process has not passed its
--- a/internal/exchange/flow_test.go
+++ b/internal/exchange/flow_test.go
@@ -13,7 +13,7 @@
 	"frostshift/internal/verdict"
 )
 
-// upload is a body in a state that the test sets.
+// upload is a request body whose state the test sets.
 type upload struct {
 	mu     sync.Mutex
 	state  body.State
@@ -23,37 +23,37 @@
 func (u *upload) State() body.State { u.mu.Lock(); defer u.mu.Unlock(); return u.state }
 func (u *upload) Broken() bool      { u.mu.Lock(); defer u.mu.Unlock(); return u.broken }
 
-// stepwise is an upstream whose attempts the test ends itself.
-type stepwise struct {
+// manualUpstream is an upstream whose attempts are ended by the test.
+type manualUpstream struct {
 	started chan *Attempt
-	offs    chan *Attempt
+	cancels chan *Attempt
 }
 
-func newStepwise() *stepwise {
-	return &stepwise{started: make(chan *Attempt, 16), offs: make(chan *Attempt, 64)}
+func newManualUpstream() *manualUpstream {
+	return &manualUpstream{started: make(chan *Attempt, 16), cancels: make(chan *Attempt, 64)}
 }
 
-type stepHandle struct {
-	u *stepwise
+type manualHandle struct {
+	u *manualUpstream
 	a *Attempt
 }
 
-func (h stepHandle) CallOff() { h.u.offs <- h.a }
+func (h manualHandle) CallOff() { h.u.cancels <- h.a }
 
-func (u *stepwise) Start(a *Attempt) Handle {
+func (u *manualUpstream) Start(a *Attempt) Handle {
 	u.started <- a
-	return stepHandle{u, a}
+	return manualHandle{u, a}
 }
 
-// counted counts what a request holds.
-type counted struct {
+// countingRoom is a Room that counts what is taken from it.
+type countingRoom struct {
 	mu   sync.Mutex
 	held int64
 }
 
-func (c *counted) Take(n int64) bool { c.mu.Lock(); defer c.mu.Unlock(); c.held += n; return true }
-func (c *counted) Give(n int64)      { c.mu.Lock(); defer c.mu.Unlock(); c.held -= n }
-func (c *counted) now() int64        { c.mu.Lock(); defer c.mu.Unlock(); return c.held }
+func (c *countingRoom) Take(n int64) bool { c.mu.Lock(); defer c.mu.Unlock(); c.held += n; return true }
+func (c *countingRoom) Give(n int64)      { c.mu.Lock(); defer c.mu.Unlock(); c.held -= n }
+func (c *countingRoom) now() int64        { c.mu.Lock(); defer c.mu.Unlock(); return c.held }
 
 type endings struct {
 	mu   sync.Mutex
@@ -62,26 +62,26 @@
 
 func (e *endings) Ended(x Ending) { e.mu.Lock(); defer e.mu.Unlock(); e.list = append(e.list, x) }
 
-func (x *Exchange) flow(class int, id string, b Body, w Watcher, to, fallback *Pool) *Call {
+func (x *Exchange) submitBody(class int, id string, b Body, w Watcher, to, fallback *Pool) *Call {
 	now := x.clock.Now()
 	return x.Submit(Request{ID: id, Class: class, Tenant: -1, Deadline: now + time.Second, Message: id, Body: b,
 		Rest: time.Second, Ends: now + time.Hour, Watch: w}, to, fallback)
 }
 
-// A request whose answer's body flows has its verdict with the head, and holds its id, its
-// place and its pools until the body's end, an hour later.
+// A request whose answer's body is still to come gets its verdict with the head of the answer, and keeps
+// its id, its room and its pools until the end of the body, half an hour later.
 func TestFlowHoldsUntilItsEnd(t *testing.T) {
 	for _, c := range []struct {
 		end         frostshift.Result
 		failed, bad bool
 	}{{frostshift.OK, false, false}, {frostshift.Reset, true, true}, {frostshift.Canceled, false, false}} {
 		synctest.Test(t, func(t *testing.T) {
-			x, u, room, w := New(NewClock()), newStepwise(), &counted{}, &endings{}
+			x, u, room, w := New(NewClock()), newManualUpstream(), &countingRoom{}, &endings{}
 			p := newPool(t, x, "p", u, 2, room)
 			b := &upload{state: body.Whole}
-			call := x.flow(1, "a", b, w, p, nil)
+			call := x.submitBody(1, "a", b, w, p, nil)
 			a := <-u.started
-			time.Sleep(time.Minute) // the client drips
+			time.Sleep(time.Minute) // the client sends slowly
 			a.Waited(time.Minute)
 			a.Fed()
 			time.Sleep(10 * time.Millisecond)
@@ -92,41 +92,41 @@
 				t.Fatalf("reply %+v", r)
 			}
 			time.Sleep(30 * time.Minute)
-			if v := <-x.flow(1, "a", nil, nil, p, nil).Reply; v.Verdict != Duplicate {
-				t.Errorf("the same id within the flow: %v", v.Verdict)
+			if v := <-x.submitBody(1, "a", nil, nil, p, nil).Reply; v.Verdict != Duplicate {
+				t.Errorf("the same id during the body of the answer: %v", v.Verdict)
 			}
 			p.Drain()
 			time.Sleep(time.Minute)
 			select {
 			case <-p.Done():
-				t.Error("the pool has ended below the flow")
+				t.Error("the pool has ended during the body of the answer")
 			default:
 			}
 			if room.now() != 1 {
-				t.Errorf("%d places held", room.now())
+				t.Errorf("%d requests hold room, want 1", room.now())
 			}
 			a.Flowed(c.end)
 			<-p.Done()
 			if room.now() != 0 || x.Open() != 0 {
-				t.Errorf("held at the end: %d places, %d ids", room.now(), x.Open())
+				t.Errorf("at the end: %d requests hold room, %d ids are open", room.now(), x.Open())
 			}
 			if n := p.Counts().Failed.Load(); (n == 1) != c.failed {
-				t.Errorf("%d failed", n)
+				t.Errorf("%d requests failed", n)
 			}
 			if len(w.list) != 1 || w.list[0].Fault != c.bad || w.list[0].Work > 31*time.Minute/bodyLoadDivisor+time.Second {
 				t.Errorf("endings %+v", w.list)
 			}
 			select {
-			case off := <-u.offs:
-				t.Errorf("%v was called off", off)
+			case canceled := <-u.cancels:
+				t.Errorf("%v was canceled", canceled)
 			default:
 			}
 		})
 	}
 }
 
-// Whatever becomes of the attempts, of the body and of the client: one reply, no attempt that
-// the table does not allow, and nothing held at the end.
+// For random outcomes of attempts and states of the request body: there is one reply, no attempt that the
+// table in package body does not allow, and no resource is held at the end.
 func TestBodiesKeepTheTable(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		class := rapid.IntRange(0, 2).Draw(rt, "class")
@@ -148,51 +148,53 @@
 		}
 		withFallback := rapid.Bool().Draw(rt, "fallback")
 		synctest.Test(t, func(t *testing.T) {
-			x, room := New(NewClock()), &counted{}
-			u, v := newStepwise(), newStepwise()
+			x, room := New(NewClock()), &countingRoom{}
+			u, v := newManualUpstream(), newManualUpstream()
 			p, q := newPool(t, x, "p", u, 2, room), newPool(t, x, "q", v, 2, room)
 			var fallback *Pool
 			if withFallback {
 				fallback = q
 			}
 			b := &upload{state: body.Partial}
-			call := x.flow(class, "a", b, nil, p, fallback)
+			call := x.submitBody(class, "a", b, nil, p, fallback)
 			mayRan, allowed, n := [2]bool{}, true, 0 // at the pool and at its fallback
 			var reply Reply
 			for done := false; !done; {
 				select {
 				case a := <-u.started:
-					n = play(rt, a, b, steps[min(n, 4)].result, steps[min(n, 4)].state, steps[min(n, 4)].broken, steps[min(n, 4)].flows, steps[min(n, 4)].fed,
+					n = endAttempt(rt, a, b, steps[min(n, 4)].result, steps[min(n, 4)].state, steps[min(n, 4)].broken, steps[min(n, 4)].flows, steps[min(n, 4)].fed,
 						effect, &mayRan, &allowed, n, false)
 				case a := <-v.started:
-					n = play(rt, a, b, steps[min(n, 4)].result, steps[min(n, 4)].state, steps[min(n, 4)].broken, steps[min(n, 4)].flows, steps[min(n, 4)].fed,
+					n = endAttempt(rt, a, b, steps[min(n, 4)].result, steps[min(n, 4)].state, steps[min(n, 4)].broken, steps[min(n, 4)].flows, steps[min(n, 4)].fed,
 						effect, &mayRan, &allowed, n, true)
 				case reply = <-call.Reply:
 					done = true
 				}
 			}
 			if reply.Verdict == Refused && (mayRan[0] || mayRan[1]) && effect == frostshift.Unsafe {
-				rt.Fatalf("refused though it may have run")
+				rt.Fatalf("refused though the request may have run")
 			}
 			if n > 4 {
 				rt.Fatalf("%d attempts", n)
 			}
 			synctest.Wait()
 			if len(u.started)+len(v.started) > 0 {
-				rt.Fatal("an attempt behind the reply")
+				rt.Fatal("an attempt after the reply")
 			}
 			p.Drain()
 			q.Drain()
 			<-p.Done()
 			<-q.Done()
 			if room.now() != 0 || x.Open() != 0 {
-				rt.Fatalf("held at the end: %d places, %d ids", room.now(), x.Open())
+				rt.Fatalf("at the end: %d requests hold room, %d ids are open", room.now(), x.Open())
 			}
 		})
 	})
 }
 
-func play(rt *rapid.T, a *Attempt, b *upload, result frostshift.Result, state body.State, broken, flows, fed bool, effect frostshift.Effect,
+// endAttempt checks that the attempt is allowed, sets the state of the body, ends the attempt, and
+// returns the number of attempts so far.
+func endAttempt(rt *rapid.T, a *Attempt, b *upload, result frostshift.Result, state body.State, broken, flows, fed bool, effect frostshift.Effect,
 	mayRan *[2]bool, allowed *bool, n int, elsewhere bool) int {
 	here, there := 0, 1
 	if elsewhere {
@@ -203,7 +205,7 @@
 		rt.Fatalf("attempt %d, which the table does not allow", n)
 	case (mayRan[here] || mayRan[there]) && effect == frostshift.Unsafe:
 		rt.Fatalf("attempt %d though one may have run", n)
-	case mayRan[there]: // again where it may have run is its class's matter
+	case mayRan[there]: // a retry at the same pool depends on the class
 		rt.Fatalf("attempt %d elsewhere though one may have run", n)
 	}
 	b.mu.Lock()
--- a/internal/exchange/harness_test.go
+++ b/internal/exchange/harness_test.go
@@ -12,33 +12,33 @@
 
 var discard = slog.New(slog.DiscardHandler)
 
-// fakeUpstream records attempts; play says how each ends.
+// fakeUpstream records attempts; play decides how each ends.
 type fakeUpstream struct {
 	mu   sync.Mutex
 	play func(a *Attempt) (frostshift.Result, time.Duration)
-	// out counts attempts that are out by request, tries all of them
-	out, tries map[any]int
-	most       map[any]int // attempts out at once
-	offs       int
+	// inFlight counts the attempts in flight by request, tries all attempts.
+	inFlight, tries map[any]int
+	maxInFlight     map[any]int // most attempts in flight at once
+	cancels         int
 }
 
 func newUpstream(play func(a *Attempt) (frostshift.Result, time.Duration)) *fakeUpstream {
-	return &fakeUpstream{play: play, out: map[any]int{}, tries: map[any]int{}, most: map[any]int{}}
+	return &fakeUpstream{play: play, inFlight: map[any]int{}, tries: map[any]int{}, maxInFlight: map[any]int{}}
 }
 
 type fakeHandle struct {
-	u   *fakeUpstream
-	a   *Attempt
-	off chan struct{}
-	one sync.Once
+	u        *fakeUpstream
+	a        *Attempt
+	canceled chan struct{}
+	once     sync.Once
 }
 
 func (h *fakeHandle) CallOff() {
-	h.one.Do(func() {
+	h.once.Do(func() {
 		h.u.mu.Lock()
-		h.u.offs++
+		h.u.cancels++
 		h.u.mu.Unlock()
-		close(h.off)
+		close(h.canceled)
 	})
 }
 
@@ -49,11 +49,11 @@
 func (a fakeAnswer) Light() bool { return true }
 
 func (u *fakeUpstream) Start(a *Attempt) Handle {
-	h := &fakeHandle{u: u, a: a, off: make(chan struct{})}
+	h := &fakeHandle{u: u, a: a, canceled: make(chan struct{})}
 	u.mu.Lock()
 	u.tries[a.Message]++
-	u.out[a.Message]++
-	u.most[a.Message] = max(u.most[a.Message], u.out[a.Message])
+	u.inFlight[a.Message]++
+	u.maxInFlight[a.Message] = max(u.maxInFlight[a.Message], u.inFlight[a.Message])
 	u.mu.Unlock()
 	go func() {
 		result, after := u.play(a)
@@ -64,11 +64,11 @@
 			if after > a.Left {
 				result = frostshift.TimedOut
 			}
-		case <-h.off:
+		case <-h.canceled:
 			result = frostshift.Canceled
 		}
 		u.mu.Lock()
-		u.out[a.Message]--
+		u.inFlight[a.Message]--
 		u.mu.Unlock()
 		switch result {
 		case frostshift.OK:
@@ -92,16 +92,16 @@
 	{Aim: 200 * time.Millisecond, Deadline: time.Second, Effect: frostshift.Keyed, Group: frostshift.GroupCell, Window: 2 * time.Second},
 }
 
-// newPool runs a pool with so many hosts that are ready.
+// newPool runs a pool with the given number of ready hosts.
 func newPool(t testing.TB, x *Exchange, name string, u Upstream, hosts int, room Room) *Pool {
-	p := stillPool(t, x, name, u, room)
+	p := newIdlePool(t, x, name, u, room)
 	go p.Run(nil, nil)
 	p.UpdateHosts(frostshift.ListFull, hostsOf(hosts), nil)
 	return p
 }
 
-// stillPool is a pool that does not run yet.
-func stillPool(t testing.TB, x *Exchange, name string, u Upstream, room Room) *Pool {
+// newIdlePool returns a pool that does not run yet.
+func newIdlePool(t testing.TB, x *Exchange, name string, u Upstream, room Room) *Pool {
 	p, err := x.NewPool(PoolConfig{Name: name, Seed: 1, Log: slog.New(slog.DiscardHandler), Upstream: u, Room: room,
 		Settings: frostshift.Settings{Instances: 1, Classes: classes, MaxAttempts: 4, Cancel: true,
 			Step: 5 * time.Millisecond, MaxRetryAfter: time.Second}})
@@ -122,7 +122,7 @@
 	return x.Submit(Request{ID: id, Class: class, Tenant: -1, Deadline: x.clock.Now() + time.Second, Message: id}, to, fallback)
 }
 
-// hold counts how often it is let go.
+// hold counts how often it is released.
 type hold struct {
 	mu sync.Mutex
 	n  int
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -88,7 +88,7 @@
 	started      bool                       // RunDue has been called
 	hasList      bool                       // a host list has arrived
 	processes    atomic.Int32               // processes that share this instance's share of what cold hosts may receive
-	fleet        atomic.Pointer[fleetState] // the latest report of the instances that share the hosts
+	fleetState   atomic.Pointer[fleetState] // the latest report of the instances that share the hosts
 	stalledUntil frostshift.Time            // the time up to which stalls have been reported
 	actions      []frostshift.Action
 
--- a/internal/exchange/rules_test.go
+++ b/internal/exchange/rules_test.go
@@ -13,16 +13,15 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever hosts do and clients do, in any order: each request has one answer before its
-// deadline or its client has left, no effect happens twice, one attempt is out at a time
-// and four at most over all pools, what was held is let go once, and in the end nothing
-// is left.
+// For random behaviour of hosts and clients: each request gets one answer before its deadline unless
+// its client has left, no effect happens twice, each request has one attempt in flight at a time and
+// at most four over all pools, its Hold is released once, and nothing remains open in the end.
 func TestRulesHoldWhateverHappens(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		type plan struct {
 			class   int
 			at      time.Duration
-			goneAt  time.Duration // 0: stays
+			goneAt  time.Duration // 0: the client stays
 			to, alt int
 		}
 		var plans []plan
@@ -36,7 +35,7 @@
 		}
 		results := rapid.SliceOfN(rapid.SampledFrom([]frostshift.Result{frostshift.OK, frostshift.OK, frostshift.Failed, frostshift.Full,
 			frostshift.ConnectFailed, frostshift.Reset, frostshift.NotSent}), 1, 40).Draw(rt, "results")
-		spans := rapid.SliceOfN(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 30 * time.Millisecond, 400 * time.Millisecond, time.Hour}), 1, 40).Draw(rt, "spans")
+		durations := rapid.SliceOfN(rapid.SampledFrom([]time.Duration{0, time.Millisecond, 30 * time.Millisecond, 400 * time.Millisecond, time.Hour}), 1, 40).Draw(rt, "spans")
 		hosts := [2]int{rapid.IntRange(0, 3).Draw(rt, "hosts a"), rapid.IntRange(0, 3).Draw(rt, "hosts b")}
 		limit := int64(rapid.IntRange(1, 30).Draw(rt, "room"))
 		contracts := rapid.Bool().Draw(rt, "contracts")
@@ -49,14 +48,14 @@
 				mu.Lock()
 				defer mu.Unlock()
 				n++
-				r, d := results[n%len(results)], spans[n%len(spans)]
+				r, d := results[n%len(results)], durations[n%len(durations)]
 				if r != frostshift.Full && r != frostshift.ConnectFailed && r != frostshift.NotSent || d == time.Hour {
 					mayHaveRun[a.Message]++
 				}
 				return r, d
 			})
 			rooms := [2]*fake.Room{fake.NewRoom(limit), fake.NewRoom(limit)}
-			pools := [2]*Pool{stillPool(t, x, "a", u, rooms[0]), stillPool(t, x, "b", u, rooms[1])}
+			pools := [2]*Pool{newIdlePool(t, x, "a", u, rooms[0]), newIdlePool(t, x, "b", u, rooms[1])}
 			holds := make([]hold, len(plans))
 			limiter := contract.NewLimiter(20, 1)
 			for _, p := range pools {
@@ -101,7 +100,7 @@
 							t.Errorf("answered after the deadline: %+v", r)
 						}
 						if r.Verdict == Refused && p.class != 0 && ran > 0 {
-							t.Errorf("class %d refused after an attempt that may have run", p.class)
+							t.Errorf("class %d: refused after an attempt that may have run", p.class)
 						}
 						if r.Verdict == Served {
 							r.Answer.Release()
@@ -116,27 +115,27 @@
 			for _, p := range pools {
 				p.Drain()
 				<-p.Done()
-				if out, waiting, _ := p.sched.Counts(); out != 0 || waiting != 0 {
-					t.Errorf("%d are out and %d wait in a scheduler", out, waiting)
+				if inFlight, waiting, _ := p.sched.Counts(); inFlight != 0 || waiting != 0 {
+					t.Errorf("a scheduler has %d requests in flight and %d waiting", inFlight, waiting)
 				}
 			}
 			if open, _ := limiter.Open(); open != 0 {
-				t.Errorf("%d are open in the limiter", open)
+				t.Errorf("%d requests are open in the limiter", open)
 			}
 			for i, p := range plans {
 				id := fmt.Sprint(i)
-				if u.most[id] > 1 || u.tries[id] > 4 || p.class == 1 && mayHaveRun[id] > 1 {
-					t.Errorf("class %d: %d attempts, %d at once, %d may have run", p.class, u.tries[id], u.most[id], mayHaveRun[id])
+				if u.maxInFlight[id] > 1 || u.tries[id] > 4 || p.class == 1 && mayHaveRun[id] > 1 {
+					t.Errorf("class %d: %d attempts, at most %d at once, %d may have run", p.class, u.tries[id], u.maxInFlight[id], mayHaveRun[id])
 				}
 				if holds[i].n != 1 {
-					t.Errorf("what a request held was let go %d times", holds[i].n)
+					t.Errorf("the Hold of a request was released %d times", holds[i].n)
 				}
-				if u.out[id] != 0 {
-					t.Errorf("an attempt is still out")
+				if u.inFlight[id] != 0 {
+					t.Errorf("an attempt is still in flight")
 				}
 			}
 			if x.Open() != 0 || rooms[0].Used() != 0 || rooms[1].Used() != 0 {
-				t.Errorf("%d ids are open, %d and %d requests held", x.Open(), rooms[0].Used(), rooms[1].Used())
+				t.Errorf("%d ids are open, the rooms of the pools hold %d and %d requests", x.Open(), rooms[0].Used(), rooms[1].Used())
 			}
 		})
 	})
--- a/internal/exchange/send_test.go
+++ b/internal/exchange/send_test.go
@@ -8,20 +8,21 @@
 	"frostshift"
 )
 
-// dialing is an upstream whose attempts go out when a test lets them: the connection comes up then.
+// dialing is an upstream that passes its attempts to the test and sends nothing by itself, as if their
+// connections were still being established.
 type dialing struct{ attempts chan *Attempt }
 
 func (d dialing) Start(a *Attempt) Handle {
 	d.attempts <- a
-	return notOff{}
+	return nopHandle{}
 }
 
-type notOff struct{}
+type nopHandle struct{}
 
-func (notOff) CallOff() {}
+func (nopHandle) CallOff() {}
 
-// A request may not go out any more once its client is known to have left, be it that the loop has
-// not come to it, nor once its time is over.
+// A request may not be sent once its client is known to have left, even if the loop has not handled
+// the departure yet, nor after its deadline.
 func TestNothingGoesOutForWhoHasLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := New(NewClock())
@@ -30,22 +31,22 @@
 		call := x.ask(0, "left", p, nil)
 		a := <-u.attempts
 		if !a.MaySend() {
-			t.Error("a request whose client waits may not go out")
+			t.Error("a request whose client waits may not be sent")
 		}
-		stuck, end := make(chan struct{}), make(chan struct{})
-		p.Behind(func() { close(stuck); <-end }) // the loop is busy
-		<-stuck
+		blocked, unblock := make(chan struct{}), make(chan struct{})
+		p.Behind(func() { close(blocked); <-unblock }) // the loop is busy
+		<-blocked
 		call.Gone()
 		if a.MaySend() {
-			t.Error("a request may go out though its client has left")
+			t.Error("a request may be sent though its client has left")
 		}
-		close(end)
+		close(unblock)
 		a.End(frostshift.NotSent)
 		late := x.ask(0, "late", p, nil)
 		b := <-u.attempts
 		time.Sleep(time.Second)
 		if b.MaySend() {
-			t.Error("a request may go out when its time is over")
+			t.Error("a request may be sent after its deadline")
 		}
 		b.End(frostshift.NotSent)
 		<-late.Reply
@@ -54,31 +55,31 @@
 	})
 }
 
-// away is a client that has left, though nobody has read the end of its connection.
-type away struct{ gone bool }
+// leavingClient is a client whose departure shows only when its connection is checked.
+type leavingClient struct{ gone bool }
 
-func (a *away) Here() bool { return !a.gone }
+func (a *leavingClient) Here() bool { return !a.gone }
 
-// A client that has left is looked for right before the first byte: whoever reads its connection may have had
-// no processor time since.
+// The client's connection is checked right before the first byte, because the goroutine that reads it
+// may have had no processor time since the client left.
 func TestClientIsLookedForBeforeTheFirstByte(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := New(NewClock())
 		u := dialing{make(chan *Attempt, 4)}
 		p := newPool(t, x, "p", u, 2, nil)
-		client := &away{}
+		client := &leavingClient{}
 		call := x.Submit(Request{ID: "a", Class: 1, Tenant: -1, Deadline: x.clock.Now() + time.Second, Client: client}, p, nil)
 		a := <-u.attempts
 		if !a.MaySend() {
-			t.Error("a request whose client waits may not go out")
+			t.Error("a request whose client waits may not be sent")
 		}
 		client.gone = true
 		if a.MaySend() {
-			t.Error("a request may go out though its client has left")
+			t.Error("a request may be sent though its client has left")
 		}
-		client.gone = false // what was seen holds
+		client.gone = false // a departure is final
 		if a.MaySend() {
-			t.Error("the client has come back")
+			t.Error("a request may be sent for a client that was seen to leave")
 		}
 		call.Gone()
 		a.End(frostshift.NotSent)
@@ -87,9 +88,9 @@
 	})
 }
 
-// A repeat of a keyed request goes out up to the end of the window since its first attempt that may
-// have run, and not later, however long its connection takes to come up. The attempt that never ran
-// does not count.
+// A retry of a keyed request may be sent until the end of the window, counted from its first attempt
+// that may have run, and not later, however long its connection takes to be established. An attempt
+// that certainly did not run does not count.
 func TestRepeatGoesOutWithinItsWindow(t *testing.T) {
 	const window = 300 * time.Millisecond
 	for _, late := range []bool{false, true} {
@@ -117,7 +118,7 @@
 				time.Sleep(time.Nanosecond)
 			}
 			if second.MaySend() == late {
-				t.Errorf("may go out %t, late %t", !late, late)
+				t.Errorf("may be sent: %t, late: %t", !late, late)
 			}
 			second.End(frostshift.NotSent)
 			if r := <-call.Reply; r.Verdict == Served {
@@ -129,8 +130,8 @@
 	}
 }
 
-// At the end of the process nothing is sent any more: a request that comes is refused, one that is open has
-// no longer than until then, and none of its attempts is told more.
+// After the end of the process nothing is sent: a new request is refused, and an open one has no time
+// beyond the end, nor does any of its attempts report more to a host.
 func TestNothingIsSentAtTheEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		x := New(NewClock())
@@ -147,19 +148,19 @@
 		synctest.Wait()
 		for _, want := range []time.Duration{time.Second, 300 * time.Millisecond} {
 			if got := <-left; got > want {
-				t.Errorf("told %v, at most %v are left", got, want)
+				t.Errorf("the host was given %v, but at most %v are left", got, want)
 			}
 		}
 		time.Sleep(301 * time.Millisecond)
 		over := x.ask(0, "over", p, nil)
 		if r := <-over.Reply; r.Verdict != Refused || r.Tries != 0 {
-			t.Errorf("one that comes at the end: %+v", r)
+			t.Errorf("a request after the end: %+v", r)
 		}
 		if r := <-late.Reply; r.Verdict == Served || u.tries["late"] != 1 {
-			t.Errorf("one that came shortly before: %+v after %d attempts", r, u.tries["late"])
+			t.Errorf("a request shortly before the end: %+v after %d attempts", r, u.tries["late"])
 		}
 		if r := <-early.Reply; r.Verdict != Refused || u.tries["early"] != 1 { // its second attempt is due now
-			t.Errorf("one that was open: %+v after %d attempts", r, u.tries["early"])
+			t.Errorf("an open request: %+v after %d attempts", r, u.tries["early"])
 		}
 		p.Drain()
 		<-p.Done()
--- a/internal/exchange/twin.go
+++ b/internal/exchange/twin.go
@@ -148,19 +148,19 @@
 // limits that contracts state for the whole fleet. It does not wait for the loop; the latest call
 // wins.
 func (p *Pool) Fleet(k frostshift.Fleet, maxInstances int) {
-	p.fleet.Store(&fleetState{k, maxInstances})
+	p.fleetState.Store(&fleetState{k, maxInstances})
 	go p.postFleet()
 }
 
 // FleetNow is like Fleet, for a caller that may wait until the loop has room for the event.
 func (p *Pool) FleetNow(k frostshift.Fleet, maxInstances int) {
-	p.fleet.Store(&fleetState{k, maxInstances})
+	p.fleetState.Store(&fleetState{k, maxInstances})
 	p.postFleet()
 }
 
 func (p *Pool) postFleet() {
 	p.post(event{kind: do, run: func(now frostshift.Time) {
-		s := p.fleet.Load()
+		s := p.fleetState.Load()
 		p.b.Fleet(now, s.fleet)
 		if p.fleetShare != nil {
 			p.fleetShare.SetInstances(s.maxInstances)
--- a/internal/exchange/twin_test.go
+++ b/internal/exchange/twin_test.go
@@ -9,22 +9,23 @@
 	"frostshift"
 )
 
-// wire hands notes to another exchange at once.
-type wire struct {
+// noteForwarder passes notes to another exchange at once.
+type noteForwarder struct {
 	mu sync.Mutex
 	to *Exchange
 }
 
-func (w *wire) Note(text []byte) {
-	go func() { // a lock of the sender is held
+func (w *noteForwarder) Note(text []byte) {
+	go func() { // the sender holds a lock
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.to.ApplyNotes(text)
 	}()
 }
 
-// Two processes keep one register: an id open in one is a duplicate in the other, one in doubt
-// is in doubt there, and what was open in one that has gone may have run.
+// Sibling processes share one register: an id that is open in one is a duplicate in the other, a lost
+// request of one is known as lost in the other, and requests that were open in a process that has
+// gone may have run.
 func TestTwinsKeepOneRegister(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		old, next := New(NewClock()), New(NewClock())
@@ -40,9 +41,9 @@
 		claim(old, "doubt")
 		old.rememberLost("doubt")
 		old.releaseID("doubt")
-		r := old.Link(&wire{to: next})
+		r := old.Link(&noteForwarder{to: next})
 		next.Adopt(&r)
-		next.Link(&wire{to: old})
+		next.Link(&noteForwarder{to: old})
 		for _, c := range []struct {
 			x        *Exchange
 			id, want string
@@ -58,15 +59,15 @@
 		old.rememberLost("later")
 		synctest.Wait()
 		if got := claim(next, "before"); got != "taken" {
-			t.Errorf("it has ended there: %s", got)
+			t.Errorf("an id that was released in the other process: %s", got)
 		}
-		next.Link(nil) // the old one is killed with "later" open
+		next.Link(nil) // the old process is killed with "later" open
 		next.Orphan()
 		if got := claim(next, "later"); got != fmt.Sprint(Failed) {
-			t.Errorf("open where nobody will say: %s", got)
+			t.Errorf("an id that was open in a killed process: %s", got)
 		}
 		if _, ok := next.claim("later", frostshift.Safe); !ok {
-			t.Error("a safe one may run again")
+			t.Error("a safe request was rejected, though it may run again")
 		}
 	})
 }
