--- a/internal/exchange/call.go
+++ b/internal/exchange/call.go
@@ -125,7 +125,7 @@
 // delay holds a request back for its Wait. Its client may leave meanwhile, and a shutdown fails it
 // like any other request.
 func (p *Pool) delay(now frostshift.Time, c *Call) {
-	heap.Push(&p.timers, wake{now + c.Wait, tokenHeld | uint64(c.id)})
+	heap.Push(&p.timers, wake{now + c.Wait, tokenDelayed | uint64(c.id)})
 	c.Wait = 0
 }
 
--- a/internal/exchange/events_test.go
+++ b/internal/exchange/events_test.go
@@ -22,16 +22,16 @@
 		p.failureLog = eventlog.New(slog.New(slog.NewTextHandler(&text, nil)))
 		go p.Run(nil, nil)
 		p.UpdateHosts(frostshift.ListFull, hostsOf(6), nil)
-		mustFail := func(id string) {
+		ask := func(id string) {
 			if r := <-x.ask(1, id, p, nil).Reply; r.Verdict != Failed {
 				t.Errorf("%s: %+v", id, r)
 			}
 		}
 		for range 50 {
-			mustFail("flood")
+			ask("flood")
 		}
 		time.Sleep(2 * eventlog.Every)
-		mustFail("last")
+		ask("last")
 		synctest.Wait()
 		p.Drain()
 		<-p.Done()
--- a/internal/exchange/exchange.go
+++ b/internal/exchange/exchange.go
@@ -140,7 +140,7 @@
 
 // Request is what a front submits.
 type Request struct {
-	ID       string // unique among open requests, as hosts would take two with one id for the same request
+	ID       string // unique among open requests: hosts take two with one id for the same request
 	Class    int    // index in the pool's Settings.Classes
 	Tenant   int    // index in the pool's Settings.Tenants; -1 means no tenant
 	Repeat   bool   // the client marks it as a client retry
@@ -206,7 +206,7 @@
 // Reply is the one final answer to a request.
 type Reply struct {
 	Verdict Verdict
-	Answer  Answer        // the host's answer with Served; with another verdict, if set, it is given to the client instead
+	Answer  Answer        // the host's answer; set with Served, and otherwise optional: it then replaces the gateway's own
 	Why     Why           // with Failed: how the last attempt ended
 	After   time.Duration // with Refused: when the client may retry; 0 means no advice
 	Pool    string        // name of the pool that answered
@@ -241,9 +241,9 @@
 	Light() bool
 }
 
-// Submit hands a request to a pool. If the pool has no ready host, the request goes to fallback,
-// unless an attempt that may have run forbids it; fallback may be nil. Request.Hold keeps both
-// pools from ending until the call is closed.
+// Submit hands a request to a pool. If the pool has no room, or if it has no ready host and no attempt
+// may have run, the request goes to fallback, which may be nil. Request.Hold keeps both pools from
+// ending until the call is closed.
 func (x *Exchange) Submit(r Request, to, fallback *Pool) *Call {
 	r.Deadline, r.Ends = x.capToEnd(r.Deadline), x.capToEnd(r.Ends)
 	c := &Call{Request: r, x: x, fallback: fallback, Reply: make(chan Reply, 1)}
--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -413,9 +413,9 @@
 	}{{true, 0, true}, {false, 0, true}, {false, 2 * time.Second, true}, {false, 2 * restoreWithin, false}} {
 		synctest.Test(t, func(t *testing.T) {
 			p := newIdlePool(t, New(NewClock()), "a", newUpstream(always(frostshift.OK, time.Millisecond)), nil)
-			p.repeats.Begin(2)
-			p.repeats.Begin(99)
-			p.repeats.Begin(-1)
+			p.retryBudget.Begin(2)
+			p.retryBudget.Begin(99)
+			p.retryBudget.Begin(-1)
 			p.learned = &frostshift.Memory{Version: frostshift.MemoryVersion, Admit: 1, Hosts: []frostshift.HostMemory{{ID: 1, RTT: 0.25, Limit: 7}}}
 			if c.saved {
 				go p.Run(hostsOf(2), func() {})
@@ -426,9 +426,9 @@
 			time.Sleep(c.after)
 			p.UpdateHosts(frostshift.ListFull, hostsOf(2), nil)
 			got := make(chan frostshift.Memory, 1)
-			p.Memory(func(m frostshift.Memory, repeats float64) {
-				if got <- m; repeats != 2 {
-					t.Errorf("%.1f retries are left in the budget, want 2", repeats)
+			p.Memory(func(m frostshift.Memory, retries float64) {
+				if got <- m; retries != 2 {
+					t.Errorf("%.1f retries are left in the budget, want 2", retries)
 				}
 			})
 			m := <-got
--- a/internal/exchange/fair.go
+++ b/internal/exchange/fair.go
@@ -10,14 +10,14 @@
 
 // This file applies contracts in a pool: requests go to the balancer in the order of the scheduler,
 // are charged what they cost, and get further attempts only within their team's budget. Package
-// contract decides all of this; this file carries it out.
+// contract decides all of this; this file executes the decisions.
 
 const (
 	// tokenDispatch marks the pool's own dispatch timer. The kinds in the upper eight bits of the
 	// balancer's tokens count from 1 up.
 	tokenDispatch = 0xff << 56
-	// tokenHeld marks the timer of a delayed request; the lower bits hold its id.
-	tokenHeld = 0xfe << 56
+	// tokenDelayed marks the timer of a delayed request; the lower bits hold its id.
+	tokenDelayed = 0xfe << 56
 	// capacityInterval is the maximum age of the capacity that the scheduler uses.
 	capacityInterval = 5 * time.Millisecond
 	dispatchInterval = 10 * time.Millisecond // while requests wait: hosts become available with time alone
@@ -101,9 +101,9 @@
 			r = Reply{Verdict: Refused, After: p.advice}
 		}
 	case c.priorAttempts+len(c.attempts) == 0:
-		p.repeats.Asked()
+		p.retryBudget.Asked()
 		return true
-	case c.mayRan && !p.repeats.Take(now):
+	case c.mayRan && !p.retryBudget.Take(now):
 		if harmless {
 			r = Reply{Verdict: Refused, After: p.advice}
 		}
--- a/internal/exchange/flow.go
+++ b/internal/exchange/flow.go
@@ -9,8 +9,9 @@
 // come. Package body decides what may still be done with such a request; this file asks it, and
 // keeps a request open until the body of its answer has ended.
 
-// bodyLoadDivisor scales the load of a body in transfer: it uses this fraction of the host time
-// that an attempt being processed uses, in a team's account as in the balancer's load.
+// bodyLoadDivisor is the divisor for the load of a body in transfer: its time counts this many times
+// less than that of an attempt that the host is processing, in a team's account as in the balancer's
+// load.
 const bodyLoadDivisor = 8
 
 // ways returns what may still be done with a request after an event.
@@ -26,18 +27,18 @@
 
 // checkBody ends a request whose body cannot be sent again. The balancer decides about all others.
 func (p *Pool) checkBody(c *Call, a *Attempt, e *event, r frostshift.Result) {
-	what := body.Lost
+	bodyEvent := body.Lost
 	switch {
 	case r == frostshift.Full:
-		what = body.Declined
+		bodyEvent = body.Declined
 	case r == frostshift.ConnectFailed || r == frostshift.NotSent:
-		what = body.Untouched
+		bodyEvent = body.Untouched
 	case e.answered || e.malformed:
-		what = body.Answered
+		bodyEvent = body.Answered
 	case !a.fed:
-		what = body.Cut
+		bodyEvent = body.Cut
 	}
-	switch w := p.ways(c, what); {
+	switch w := p.ways(c, bodyEvent); {
 	case w.Has(body.Again):
 	case w.Has(body.Refuse):
 		p.finish(c, Reply{Verdict: Refused, After: p.advice})
--- a/internal/exchange/loop.go
+++ b/internal/exchange/loop.go
@@ -69,8 +69,8 @@
 		switch {
 		case t.token == tokenDispatch:
 			p.dispatchAt = 0
-		case t.token&tokenDispatch == tokenHeld:
-			if c := p.calls[frostshift.RequestID(t.token&^tokenHeld)]; c != nil && !c.closed {
+		case t.token&tokenDispatch == tokenDelayed:
+			if c := p.calls[frostshift.RequestID(t.token&^tokenDelayed)]; c != nil && !c.closed {
 				p.place(p.clock.Now(), c)
 				p.runActions()
 			}
@@ -155,12 +155,12 @@
 		p.flowed(now, e)
 	case clientGone:
 		p.clientLeft(now, e.call)
-	case do:
+	case callFunc:
 		e.run(now)
 	}
 }
 
-// runActions carries out the balancer's actions, including those that result from them.
+// runActions executes the balancer's actions, including those that result from them.
 func (p *Pool) runActions() {
 	for p.actions = p.b.Drain(p.actions[:0]); len(p.actions) > 0; p.actions = p.b.Drain(p.actions[:0]) {
 		p.runActionBatch()
--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -38,7 +38,7 @@
 	// InFlightChanged is called with 1 for each attempt that is sent to a host, and with -1 when it
 	// is no longer in flight: it has ended, or only the body of its answer is still to come. It is
 	// called in the loop and must not block; it may be nil.
-	InFlightChanged func(id frostshift.HostID, more int)
+	InFlightChanged func(id frostshift.HostID, delta int)
 	// Scheduler, FleetShare and Limiter divide the pool among teams. Either all or none are set.
 	Scheduler  *contract.Scheduler
 	FleetShare *contract.FleetShare
@@ -70,13 +70,13 @@
 	startedAt        frostshift.Time    // when the loop started
 	advice           time.Duration      // retry advice if the pool itself is full; 0 means none
 
-	sched      *contract.Scheduler // nil if there are no contracts
-	fleetShare *contract.FleetShare
-	limiter    *contract.Limiter
-	jury       *verdict.Jury
-	repeats    verdict.Budget
-	capacityAt frostshift.Time // when the scheduler was last given the capacity
-	dispatchAt frostshift.Time // when the scheduler is due again; 0 means with the next event
+	sched       *contract.Scheduler // nil if there are no contracts
+	fleetShare  *contract.FleetShare
+	limiter     *contract.Limiter
+	jury        *verdict.Jury
+	retryBudget verdict.Budget
+	capacityAt  frostshift.Time // when the scheduler was last given the capacity
+	dispatchAt  frostshift.Time // when the scheduler is due again; 0 means with the next event
 
 	events chan event
 	quit   chan struct{} // closed by Drain: the loop ends once nothing is open
@@ -87,7 +87,7 @@
 	timers       timers
 	started      bool                       // RunDue has been called
 	hasList      bool                       // a host list has arrived
-	processes    atomic.Int32               // processes that share this instance's share of what cold hosts may receive
+	processes    atomic.Int32               // processes of this instance, see SetProcesses
 	fleetState   atomic.Pointer[fleetState] // the latest report of the instances that share the hosts
 	stalledUntil frostshift.Time            // the time up to which stalls have been reported
 	actions      []frostshift.Action
@@ -119,7 +119,7 @@
 	attemptFlows                   // the head of the attempt's answer has arrived
 	attemptFlowed                  // the body of the attempt's answer has ended
 	clientGone                     // nobody waits for call any more
-	do                             // run is to be called
+	callFunc                       // run is to be called
 )
 
 type event struct {
@@ -145,12 +145,12 @@
 	p := &Pool{name: c.Name, set: c.Settings, log: c.Log, failureLog: eventlog.New(c.Log), clock: x.clock, x: x, b: b, upstream: c.Upstream,
 		room: c.Room, watch: c.Watch, onHostSeen: c.HostSeen, onAttemptEnd: c.AttemptEnded, onInFlightChange: c.InFlightChanged, learned: c.Learned, sched: c.Scheduler, fleetShare: c.FleetShare, limiter: c.Limiter, advice: c.Settings.MaxRetryAfter,
 		events: make(chan event, 1024), quit: make(chan struct{}), done: make(chan struct{}),
-		calls: map[frostshift.RequestID]*Call{}, jury: verdict.NewJury(), repeats: verdict.NewBudget(c.Repeats)}
+		calls: map[frostshift.RequestID]*Call{}, jury: verdict.NewJury(), retryBudget: verdict.NewBudget(c.Repeats)}
 	if c.RetryShare != nil {
-		p.repeats.Share(c.RetryShare)
+		p.retryBudget.Share(c.RetryShare)
 	}
 	if c.Repeated != nil {
-		p.repeats.Begin(*c.Repeated)
+		p.retryBudget.Begin(*c.Repeated)
 	}
 	if p.room == nil {
 		p.room = Unbounded{}
@@ -209,7 +209,7 @@
 // UpdateHosts gives the loop a host list. apply runs first, in the loop, so that the upstream knows
 // the addresses of hosts before the balancer can name them. apply may be nil.
 func (p *Pool) UpdateHosts(kind frostshift.ListKind, hosts []frostshift.Host, apply func()) {
-	p.post(event{kind: do, run: func(now frostshift.Time) {
+	p.post(event{kind: callFunc, run: func(now frostshift.Time) {
 		if apply != nil {
 			apply()
 		}
@@ -238,7 +238,7 @@
 // runs first, in the loop, and done once the change is in effect. Neither runs if the loop has
 // ended.
 func (p *Pool) Ban(id frostshift.HostID, out bool, apply, done func()) {
-	p.post(event{kind: do, run: func(now frostshift.Time) {
+	p.post(event{kind: callFunc, run: func(now frostshift.Time) {
 		apply()
 		p.b.Ban(now, id, out)
 		done()
@@ -248,7 +248,7 @@
 // HostHealth gives the balancer the health of hosts as reported by peers. Hosts that are not in the
 // pool are ignored.
 func (p *Pool) HostHealth(list []frostshift.HostHealth) {
-	p.post(event{kind: do, run: func(now frostshift.Time) {
+	p.post(event{kind: callFunc, run: func(now frostshift.Time) {
 		for _, k := range list {
 			p.b.HostHealth(now, k)
 		}
@@ -258,7 +258,7 @@
 // PeerLoad gives the balancer the in-flight attempts at hosts as reported by peers. Hosts that are
 // not in the pool are ignored.
 func (p *Pool) PeerLoad(list []frostshift.Crowd) {
-	p.post(event{kind: do, run: func(now frostshift.Time) {
+	p.post(event{kind: callFunc, run: func(now frostshift.Time) {
 		for _, k := range list {
 			p.b.Crowded(now, k)
 		}
@@ -267,13 +267,13 @@
 
 // Behind runs f in the loop, after all events that have been posted so far.
 func (p *Pool) Behind(f func()) {
-	p.post(event{kind: do, run: func(frostshift.Time) { f() }})
+	p.post(event{kind: callFunc, run: func(frostshift.Time) { f() }})
 }
 
 // FailAll fails all requests that are still open, so that their clients get an answer before the
 // process is killed.
 func (p *Pool) FailAll() {
-	p.post(event{kind: do, run: func(now frostshift.Time) {
+	p.post(event{kind: callFunc, run: func(now frostshift.Time) {
 		for _, c := range p.calls {
 			if !c.closed {
 				p.finish(c, Reply{Verdict: Failed})
@@ -296,7 +296,7 @@
 // ReportLoad calls f in the loop with the pool's current load. f is not called if the loop has
 // ended; Done is closed then.
 func (p *Pool) ReportLoad(f func(Load)) {
-	p.post(event{kind: do, run: func(now frostshift.Time) {
+	p.post(event{kind: callFunc, run: func(now frostshift.Time) {
 		l := Load{Capacity: p.b.Capacity(now), Open: len(p.calls), Pace: p.b.Pace(now)}
 		l.Members, l.Away = p.b.Members(now)
 		for i := range p.set.Classes {
@@ -308,5 +308,5 @@
 
 // ReportStatus calls f in the loop with the state on which the balancer bases its decisions.
 func (p *Pool) ReportStatus(f func(frostshift.Standing)) {
-	p.post(event{kind: do, run: func(now frostshift.Time) { f(p.b.Standing(now)) }})
+	p.post(event{kind: callFunc, run: func(now frostshift.Time) { f(p.b.Standing(now)) }})
 }
--- a/internal/exchange/twin.go
+++ b/internal/exchange/twin.go
@@ -128,10 +128,10 @@
 }
 
 // notify sends a note to the sibling process, if there is one. The caller holds the lock.
-func (s *idShard) notify(what byte, h uint64) {
+func (s *idShard) notify(kind byte, h uint64) {
 	if s.sibling != nil {
 		var b [noteLen]byte
-		b[0] = what
+		b[0] = kind
 		binary.BigEndian.PutUint64(b[1:], h)
 		s.sibling.Note(b[:])
 	}
@@ -141,7 +141,7 @@
 // have just started may receive. It does not wait for the loop; the latest call wins.
 func (p *Pool) SetProcesses(n int) {
 	p.processes.Store(int32(n))
-	go p.post(event{kind: do, run: func(now frostshift.Time) { p.b.Twins(now, int(p.processes.Load())) }})
+	go p.post(event{kind: callFunc, run: func(now frostshift.Time) { p.b.Twins(now, int(p.processes.Load())) }})
 }
 
 // Fleet sets which instances share the hosts, and the maximum number of gateways that share the
@@ -159,7 +159,7 @@
 }
 
 func (p *Pool) postFleet() {
-	p.post(event{kind: do, run: func(now frostshift.Time) {
+	p.post(event{kind: callFunc, run: func(now frostshift.Time) {
 		s := p.fleetState.Load()
 		p.b.Fleet(now, s.fleet)
 		if p.fleetShare != nil {
@@ -176,6 +176,6 @@
 
 // Memory calls f in the loop with the learned state of the balancer and the number of retries left
 // in the budget. f is not called if the loop has ended.
-func (p *Pool) Memory(f func(m frostshift.Memory, repeats float64)) {
-	p.post(event{kind: do, run: func(now frostshift.Time) { f(p.b.Memory(now), p.repeats.Saved()) }})
+func (p *Pool) Memory(f func(m frostshift.Memory, retries float64)) {
+	p.post(event{kind: callFunc, run: func(now frostshift.Time) { f(p.b.Memory(now), p.retryBudget.Saved()) }})
 }
--- a/internal/exchange/upstream.go
+++ b/internal/exchange/upstream.go
@@ -82,7 +82,8 @@
 // host's time.
 func (a *Attempt) Waited(d time.Duration) { a.waited.Add(int64(d)) }
 
-// took returns the host's time up to at: since the attempt was sent or, after restart, since then.
+// took returns the time that counts for the host up to at: since the attempt was sent or, after
+// restart, since then, without the time spent waiting for the client.
 func (a *Attempt) took(at frostshift.Time) time.Duration {
 	return max(0, at-a.sent-(time.Duration(a.waited.Load())-a.waitedBefore))
 }
