--- a/internal/exchange/exchange_test.go
+++ b/internal/exchange/exchange_test.go
@@ -426,9 +426,9 @@
 			time.Sleep(c.after)
 			p.UpdateHosts(frostshift.ListFull, hostsOf(2), nil)
 			got := make(chan frostshift.Memory, 1)
-			p.Memory(func(m frostshift.Memory, retries float64) {
-				if got <- m; retries != 2 {
-					t.Errorf("%.1f retries are left in the budget, want 2", retries)
+			p.Memory(func(m frostshift.Memory, retryBudget float64) {
+				if got <- m; retryBudget != 2 {
+					t.Errorf("%.1f retries are left in the budget, want 2", retryBudget)
 				}
 			})
 			m := <-got
--- a/internal/exchange/twin.go
+++ b/internal/exchange/twin.go
@@ -176,6 +176,6 @@
 
 // Memory calls f in the loop with the learned state of the balancer and the number of retries left
 // in the budget. f is not called if the loop has ended.
-func (p *Pool) Memory(f func(m frostshift.Memory, retries float64)) {
+func (p *Pool) Memory(f func(m frostshift.Memory, retryBudget float64)) {
 	p.post(event{kind: callFunc, run: func(now frostshift.Time) { f(p.b.Memory(now), p.retryBudget.Saved()) }})
 }
