--- a/balancer_test.go
+++ b/balancer_test.go
@@ -9,7 +9,7 @@
 )
 
 func TestSampleAndEstimate(t *testing.T) {
-	g := start(t, basic(), hosts(1)...)
+	g := start(t, testSettings(), hosts(1)...)
 	h := g.b.hosts[0]
 	tau := decayAims * g.b.aim.Seconds()
 	steps := []struct {
@@ -44,7 +44,7 @@
 // Full-size days: samples of a host lay seconds apart, a decay of a few aims left
 // nothing of one by the next.
 func TestDecayOutlastsTheGapBetweenSamples(t *testing.T) {
-	g := start(t, basic(), hosts(1)...)
+	g := start(t, testSettings(), hosts(1)...)
 	h := g.b.hosts[0]
 	for range 40 {
 		g.b.now += 5 * time.Second
@@ -58,7 +58,7 @@
 
 // A host without samples is rated as its kind is, and drifts into use all the same.
 func TestUnknownHostIsSeededByItsKind(t *testing.T) {
-	g := start(t, basic(), Host{ID: 1, Kind: 1}, Host{ID: 2, Kind: 2})
+	g := start(t, testSettings(), Host{ID: 1, Kind: 1}, Host{ID: 2, Kind: 2})
 	took := func(h HostID) time.Duration { return time.Duration(h) * 40 * ms }
 	g.serve(600, 0, took) // the slow one is asked now and then, once it is known to be
 	g.list(ListChanges, Host{ID: 3, Kind: 1}, Host{ID: 4, Kind: 2})
@@ -89,7 +89,7 @@
 		{NotSent, 900 * ms, -1},
 	}
 	for _, tt := range tests {
-		g := start(t, basic(), hosts(1)...)
+		g := start(t, testSettings(), hosts(1)...)
 		h := g.b.hosts[0]
 		seed := 0.0 // none
 		if tt.want < 0 {
@@ -115,7 +115,7 @@
 		{"product decides", [2]float64{0.1, 0.35}, [2]int{2, 0}, 0},
 	}
 	for _, tt := range tests {
-		g := start(t, basic(), hosts(2)...)
+		g := start(t, testSettings(), hosts(2)...)
 		for i, h := range g.b.hosts {
 			h.fresh, h.rtt, h.rttAt, h.pending, h.limit = false, tt.rtt[i], g.now, tt.pending[i], 10
 		}
@@ -130,7 +130,7 @@
 // Of many hosts only the two drawn are compared: the second best is drawn
 // without the best often enough to get a share, the worst never wins.
 func TestTwoAreDrawn(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	for i, h := range g.b.hosts {
 		h.fresh, h.rtt, h.rttAt = false, float64(i+1), g.now
 	}
@@ -148,7 +148,7 @@
 // Near hosts are used while they are no slower than remote ones by more than crossing
 // costs; a near zone that is slow, full or lost takes none down with it.
 func TestNearIsPreferredWhileItHasRoom(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances, set.Zones, set.PreferNear, set.CrossPrice = 4, 2, true, 0.05 // 20 ms
 	list := []Host{}
 	for i := range 12 { // two near ones
@@ -185,7 +185,7 @@
 }
 
 func TestSlowHostGetsLess(t *testing.T) {
-	g := start(t, basic(), hosts(3)...)
+	g := start(t, testSettings(), hosts(3)...)
 	got := g.serve(300, 0, func(h HostID) time.Duration {
 		if h == 3 {
 			return 120 * ms
@@ -198,7 +198,7 @@
 }
 
 func TestNoHostWaitsThenRefuses(t *testing.T) {
-	g := start(t, basic())
+	g := start(t, testSettings())
 	id := g.request(0, time.Second)
 	if len(g.acts) != 0 {
 		t.Fatalf("actions %v, want the request to wait", g.acts)
@@ -210,10 +210,10 @@
 }
 
 func TestWaitingRequestGoesToTheFirstHost(t *testing.T) {
-	g := start(t, basic())
+	g := start(t, testSettings())
 	id := g.request(2, time.Second)
 	g.list(ListFull, hosts(1)...)
-	if a := g.sole(Send); a.Request != id || a.Host != 1 {
+	if a := g.onlyAction(Send); a.Request != id || a.Host != 1 {
 		t.Errorf("sent %v", a)
 	}
 }
@@ -221,19 +221,19 @@
 // zurich incident ie27dba: a request that comes with no time left was taken to
 // have all of it.
 func TestNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
-	g := start(t, basic(), hosts(2)...)
+	g := start(t, testSettings(), hosts(2)...)
 	for class := range g.b.set.Classes {
 		g.request(class, 0)
-		g.sole(Refuse)
+		g.onlyAction(Refuse)
 	}
 }
 
 // An attempt may still be connecting at the deadline and end only after it.
 func TestInFlightIsAnsweredAheadOfItsDeadline(t *testing.T) {
 	for class, want := range []ActionKind{Refuse, Fail, Fail} {
-		g := start(t, basic(), hosts(2)...)
+		g := start(t, testSettings(), hosts(2)...)
 		g.request(class, 500*ms)
-		g.sole(Send)
+		g.onlyAction(Send)
 		done := g.advance(500*ms - g.b.set.Step)
 		if len(done) != 2 || done[0].Kind != want || done[1].Kind != Cancel {
 			t.Errorf("class %d: done %v, want kind %d and a cancel", class, done, want)
@@ -243,13 +243,13 @@
 
 func TestDrainingAndRemovedHostsGetNothing(t *testing.T) {
 	for _, state := range []HostState{Draining, Removed} {
-		g := start(t, basic(), hosts(3)...)
+		g := start(t, testSettings(), hosts(3)...)
 		g.list(ListChanges, Host{ID: 2, State: state})
 		if got := g.serve(50, 0, func(HostID) time.Duration { return ms }); got[2] != 0 {
 			t.Errorf("state %d: %d sends", state, got[2])
 		}
 	}
-	g := start(t, basic(), hosts(3)...)
+	g := start(t, testSettings(), hosts(3)...)
 	g.list(ListFull, hosts(2)...) // what is not on the whole list is gone
 	if got := g.serve(50, 0, func(HostID) time.Duration { return ms }); got[3] != 0 {
 		t.Errorf("dropped host: %d sends", got[3])
@@ -261,7 +261,7 @@
 }
 
 func TestRemovedHostIsForgottenOnceIdle(t *testing.T) {
-	g := start(t, basic(), hosts(1)...)
+	g := start(t, testSettings(), hosts(1)...)
 	id := g.request(0, time.Second)
 	g.list(ListChanges, Host{ID: 1, State: Removed})
 	if len(g.b.hosts) != 1 {
@@ -274,7 +274,7 @@
 }
 
 func TestStrayEventsAreHarmless(t *testing.T) {
-	g := start(t, basic(), hosts(2)...)
+	g := start(t, testSettings(), hosts(2)...)
 	id := g.request(0, time.Second)
 	g.outcome(id+99, 0, OK, ms)
 	g.outcome(id, 7, OK, ms)
@@ -300,11 +300,11 @@
 }
 
 func TestGoneCancelsAndForgets(t *testing.T) {
-	g := start(t, basic(), hosts(1)...)
+	g := start(t, testSettings(), hosts(1)...)
 	id := g.request(0, time.Second)
 	g.b.Gone(g.now, id)
 	g.drain()
-	g.sole(Cancel)
+	g.onlyAction(Cancel)
 	g.outcome(id, 0, Canceled, ms)
 	if len(g.b.reqs) != 0 {
 		t.Error("request kept")
@@ -314,7 +314,7 @@
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() string {
 		var all []Action
-		g := start(t, basic(), hosts(7)...)
+		g := start(t, testSettings(), hosts(7)...)
 		for i := range 300 {
 			id := g.request(i%3, time.Second)
 			all = append(all, g.acts...)
@@ -365,7 +365,7 @@
 // A body that drips, either way, is no slowness of its host's: the estimate, the limit and the
 // watch for silent hosts see the host's own time alone.
 func TestBodiesOnTheirWayAreNoSlowness(t *testing.T) {
-	g := start(t, basic(), hosts(1)...)
+	g := start(t, testSettings(), hosts(1)...)
 	id := g.request(0, 500*ms)
 	g.b.Feeding(g.now, id, 0)
 	h := g.b.hosts[0]
@@ -402,7 +402,7 @@
 // The time of a request whose body comes counts from its last byte, for it and for what
 // follows an attempt that fails before.
 func TestTimeCountsFromTheLastByte(t *testing.T) {
-	g := start(t, basic(), hosts(2)...)
+	g := start(t, testSettings(), hosts(2)...)
 	id := g.request(0, 500*ms)
 	g.b.Feeding(g.now, id, 0)
 	g.advance(10 * time.Second)
@@ -419,14 +419,14 @@
 	g.b.Feeding(g.now, id, 0)
 	g.advance(10 * time.Second)
 	g.outcome(id, 0, ConnectFailed, ms)
-	if again := g.sole(Send); again.Request != id {
+	if again := g.onlyAction(Send); again.Request != id {
 		t.Errorf("after a failure while the body came: %v", again)
 	}
 }
 
 // Streams spread over hosts, take no place of others, and one that breaks off tells of its host.
 func TestStreamsSpread(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	for range 400 {
 		id := g.request(0, 500*ms)
 		g.b.Flowing(g.now, id, 0, OK, 10*ms)
--- a/ban_test.go
+++ b/ban_test.go
@@ -13,7 +13,7 @@
 func TestBansAreFactsOfTheirOwn(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const n = 4
-		g := start(t, basic(), hosts(n)...)
+		g := start(t, testSettings(), hosts(n)...)
 		var out [n + 1]bool
 		var listed [n + 1]HostState
 		open := map[RequestID]int{} // attempts begun and not ended
@@ -69,9 +69,9 @@
 // with the group wholly out it fails, and an open attempt there ends as it ends.
 func TestBanUnderAKeyedRequest(t *testing.T) {
 	for _, whole := range []bool{false, true} {
-		g := start(t, basic(), hosts(4)...)
+		g := start(t, testSettings(), hosts(4)...)
 		id := g.request(1, time.Second)
-		first := g.sole(Send).Host
+		first := g.onlyAction(Send).Host
 		twin := (first - 1) ^ 1 + 1 // hosts 1 and 2 are a cell, 3 and 4 another
 		g.b.Ban(g.now, first, true)
 		if whole {
@@ -83,7 +83,7 @@
 			if acts := append(g.acts, g.advance(time.Second)...); len(acts) != 1 || acts[0].Kind != Fail {
 				t.Errorf("group wholly out: %v, want one Fail", acts)
 			}
-		} else if a := g.sole(Send); a.Host != twin {
+		} else if a := g.onlyAction(Send); a.Host != twin {
 			t.Errorf("goes on to %d, want %d", a.Host, twin)
 		}
 	}
@@ -92,7 +92,7 @@
 // A host that is called back is cold and as new, and gets work soon, also where others would
 // be chosen for ever; one that does not answer yet is tried again.
 func TestCalledBackHostIsColdAndUsedSoon(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances, set.Rank = 8, 3 // most hosts are beyond this instance's subset
 	list := hosts(16)
 	g := start(t, set, list...)
--- a/coldhost_test.go
+++ b/coldhost_test.go
@@ -8,7 +8,7 @@
 )
 
 func TestColdHostIsPaced(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	g := start(t, set, hosts(3)...)
 	// Two warm hosts at 50 answers a second each, then the third restarts.
 	serve := func(n int) map[HostID]int { return g.serve(n, 0, func(HostID) time.Duration { return 10 * ms }) }
@@ -29,13 +29,13 @@
 }
 
 func TestColdBudgetCountsRefusedAttempts(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	list := hosts(1)
 	list[0].Started = time.Hour - time.Second
 	g := start(t, set, list...)
 	g.advance(5 * time.Second)
 	id := g.request(0, time.Second)
-	g.sole(Send)
+	g.onlyAction(Send)
 	g.outcome(id, 0, Full, ms)
 	if len(g.acts) != 0 {
 		t.Errorf("sent %v again at once, with nothing learnt of warm hosts", g.acts)
@@ -45,7 +45,7 @@
 // Found by fuzzing: a learnt rate decayed to almost nothing turned into a gap
 // below zero, and the cold host was not paced at all.
 func TestColdHostIsPacedAfterALongIdleTime(t *testing.T) {
-	g := start(t, basic(), Host{ID: 1})
+	g := start(t, testSettings(), Host{ID: 1})
 	g.serve(20, 0, func(HostID) time.Duration { return 10 * ms })
 	for _, idle := range []time.Duration{time.Minute, 10 * time.Minute, time.Hour} {
 		g.now += idle
@@ -61,7 +61,7 @@
 // passau big-2: with most hosts out, the few that answered passed for the rate of
 // any host, and cold ones were sent twelve times their part.
 func TestWarmRateCountsHostsThatAreOut(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	for _, h := range g.b.hosts[1:] {
 		g.b.eject(h, "test")
 	}
@@ -82,7 +82,7 @@
 // passau big-2: as a release left few warm hosts listed, all that the instance had
 // been served lately passed for the rate of those few.
 func TestWarmRateOutlivesTheListItWasLearntOn(t *testing.T) {
-	g := start(t, basic(), hosts(10)...)
+	g := start(t, testSettings(), hosts(10)...)
 	g.serve(600, 0, func(HostID) time.Duration { return 10 * ms })
 	before := g.b.warmRate()
 	if before < 5 || before > 15 {
@@ -103,7 +103,7 @@
 // a Fall, whatever their number, so that large fleets pushed hosts over.
 func TestColdBudgetHoldsOverTheFleet(t *testing.T) {
 	for _, fleet := range []int{1, 8, 60, 300} {
-		set := basic()
+		set := testSettings()
 		set.Instances = fleet
 		// Two warm hosts serve 20 a second each; the third has just started.
 		every := time.Duration(fleet) * time.Second / 40
@@ -170,7 +170,7 @@
 
 func burst(t *testing.T, fleet int, rate float64, idle time.Duration) {
 	t.Helper()
-	set := basic()
+	set := testSettings()
 	set.Instances = fleet
 	cold := hosts(3)[2]
 	cold.Started = time.Hour
@@ -211,7 +211,7 @@
 // Altered sites: a lone host that came back cold got one request a Fall, as no
 // other host was there to learn from.
 func TestLoneColdHostUsesWhatWasLearnt(t *testing.T) {
-	g := start(t, basic(), hosts(1)...)
+	g := start(t, testSettings(), hosts(1)...)
 	g.serve(300, 0, func(HostID) time.Duration { return 10 * ms })
 	h := hosts(1)[0]
 	g.list(ListFull)
@@ -240,10 +240,10 @@
 func TestColdPacingOutlivesAFlappingList(t *testing.T) {
 	list := hosts(1)
 	list[0].Started = time.Hour - time.Second
-	g := start(t, basic(), list...)
+	g := start(t, testSettings(), list...)
 	g.advance(5 * time.Second)
 	id := g.request(0, time.Second)
-	g.sole(Send)
+	g.onlyAction(Send)
 	g.outcome(id, 0, OK, ms)
 	g.list(ListFull)
 	g.list(ListFull, list...)
@@ -256,7 +256,7 @@
 // seconds cold hosts got a twentieth of what they could do.
 func TestWarmRateIsKnownSoonAfterTheStart(t *testing.T) {
 	for _, fleet := range []int{2, 20, 80, 200} {
-		set := basic()
+		set := testSettings()
 		set.Instances = fleet
 		g := start(t, set, hosts(10)...)
 		g.b.admit = 1
@@ -271,7 +271,7 @@
 // obb-like deploy days: with most hosts cold, instances walked past a cold host far
 // more often than they counted.
 func TestFarColdHostsAreLeftToTheirSharers(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances = 240
 	var list []Host
 	for i := range 40 {
@@ -295,7 +295,7 @@
 // warm in the end.
 func TestClockThatIsOffPacesAColdHost(t *testing.T) {
 	begins := func(off time.Duration) (g *gateway, rate float64) {
-		g = start(t, basic(), hosts(3)...)
+		g = start(t, testSettings(), hosts(3)...)
 		g.serve(600, 0, func(HostID) time.Duration { return 10 * ms })
 		h := hosts(3)[2]
 		h.Started = g.now + off
--- a/discovery_test.go
+++ b/discovery_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestWatch(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Ask, set.Instances, set.Rank, set.AskWithin = true, 4, 2, 8*time.Second
 	g := start(t, set, hosts(1)...)
 	watches := func(d time.Duration) int { return len(g.advance(d)) }
@@ -22,7 +22,7 @@
 	}
 	g.list(ListChanges)
 	if n := watches(time.Minute); n != 0 {
-		t.Errorf("%d watches while watching", n)
+		t.Errorf("%d watches while a watch is open", n)
 	}
 	g.list(ListFailed)
 	gaps := []int{}
@@ -34,19 +34,19 @@
 		g.list(ListFailed)
 	}
 	if gaps[4] <= gaps[0] || gaps[4] > 8000 {
-		t.Errorf("gaps %v ms between questions, want them to grow and stay within AskWithin", gaps)
+		t.Errorf("gaps of %v ms between watches, want them to grow and stay within AskWithin", gaps)
 	}
 	set.Ask = false
 	if g := start(t, set, hosts(1)...); len(g.advance(time.Minute)) != 0 {
-		t.Error("watches where the list is pushed")
+		t.Error("a watch is sent although the list is pushed")
 	}
 }
 
-// However long the settings allow for a gateway that has not asked, a lost list is asked for again
-// soon: a change must be known 6 s after discovery has it and can be reached.
+// However long AskWithin is, a gateway requests the host list again soon after a watch failed: it
+// must know a change at most 6 s after discovery has it and is reachable.
 func TestLostListIsAskedForInTime(t *testing.T) {
 	for _, within := range []time.Duration{2 * time.Second, 10 * time.Second, time.Minute} {
-		set := basic()
+		set := testSettings()
 		set.Ask, set.AskWithin = true, within
 		g := start(t, set, hosts(1)...)
 		for g.advance(ms); len(g.acts) == 0; g.advance(ms) {
@@ -58,19 +58,19 @@
 			}
 			g.list(ListFailed)
 			if n := len(g.advance(most + ms)); n == 0 {
-				t.Fatalf("ask within %v, failure %d: not asked within %v", within, fails, most)
+				t.Fatalf("AskWithin %v, failure %d: no watch within %v", within, fails, most)
 			}
 		}
 	}
 }
 
-// All watches of a fleet break in one instant, again and again: the instances ask in turn, not
-// in step, and each asks within the time that the settings allow.
+// When all watches of a fleet break at the same time, repeatedly, the instances spread their new
+// watches over time instead of sending them together, and each sends its own within AskWithin.
 func TestFleetAsksDiscoveryInTurn(t *testing.T) {
 	const n, within = 80, 10 * time.Second
 	var fleet []*gateway
 	for rank := range n {
-		set := basic()
+		set := testSettings()
 		set.Ask, set.AskWithin, set.Instances, set.Rank = true, within, n, rank
 		g := start(t, set, hosts(1)...)
 		g.b.rng = uint64(rank)
@@ -91,12 +91,12 @@
 				}
 			}
 			if !asked {
-				t.Errorf("round %d: instance %d does not ask within %v", round, rank, within)
+				t.Errorf("round %d: instance %d sends no watch within %v", round, rank, within)
 			}
 		}
 		for tenth, c := range calls {
 			if c > n/3 {
-				t.Errorf("round %d: %d of %d instances ask in one tenth of a second, the %d.", round, c, n, tenth)
+				t.Errorf("round %d: %d of %d instances send a watch in the same tenth of a second, number %d", round, c, n, tenth)
 			}
 		}
 	}
--- a/eject_test.go
+++ b/eject_test.go
@@ -7,9 +7,9 @@
 )
 
 func TestConnectFailureEjectsAndTrialReadmits(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	fail := func() {
-		id := g.sentTo(1, ms)
+		id := g.requestTo(1, ms)
 		g.outcome(id, 0, ConnectFailed, ms)
 		g.outcome(id, 1, OK, ms)
 	}
@@ -24,10 +24,10 @@
 		t.Errorf("back-off %v after %v, want it to grow", second, first)
 	}
 	g.now = g.b.hosts[0].ejectUntil
-	trial := g.sentTo(1, ms)
+	trial := g.requestTo(1, ms)
 	for range 20 {
 		id := g.request(0, time.Second)
-		if g.sole(Send).Host == 1 {
+		if g.onlyAction(Send).Host == 1 {
 			t.Fatal("second request while the trial is out")
 		}
 		g.outcome(id, 0, OK, ms)
@@ -42,7 +42,7 @@
 // than that moment; and few are tried, however long it is.
 func TestMomentOfFailedConnectionsIsShort(t *testing.T) {
 	for _, moment := range []time.Duration{5 * ms, 50 * ms, 500 * ms, 5 * time.Second} {
-		g := start(t, basic(), hosts(4)...)
+		g := start(t, testSettings(), hosts(4)...)
 		begun, tries, served := g.now, 0, time.Duration(-1)
 		attempts := map[RequestID]int{}
 		end := func(sends []Action) {
@@ -89,14 +89,14 @@
 // passau rough-1: a host that fails most requests within milliseconds was readmitted
 // by its own errors, and each cost a request that must not be repeated.
 func TestErrorsEject(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
-	id := g.sentTo(1, ms)
+	g := start(t, testSettings(), hosts(4)...)
+	id := g.requestTo(1, ms)
 	g.outcome(id, 0, Failed, ms)
 	if g.b.hosts[0].fails > 0 {
 		t.Fatal("ejected for one error in many answers")
 	}
 	g.outcome(id, 1, OK, ms)
-	id = g.sentTo(1, ms)
+	id = g.requestTo(1, ms)
 	g.outcome(id, 0, Failed, ms)
 	g.outcome(id, 1, OK, ms)
 	if got := g.serve(40, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
@@ -105,7 +105,7 @@
 	g.now = g.b.hosts[0].ejectUntil
 	for range 40 { // the trial is for one that may be sent again
 		id := g.request(2, time.Second)
-		if g.sole(Send).Host == 1 {
+		if g.onlyAction(Send).Host == 1 {
 			t.Fatal("an unsafe request is the trial")
 		}
 		g.outcome(id, 0, OK, ms)
@@ -123,9 +123,9 @@
 // serra rough-2: a host that takes requests and answers none kept its old
 // estimate until the deadlines.
 func TestSilentHostIsEjectedAndComesBack(t *testing.T) {
-	g := start(t, basic(), hosts(3)...)
+	g := start(t, testSettings(), hosts(3)...)
 	g.serve(60, 0, func(HostID) time.Duration { return 10 * ms })
-	held := g.sentTo(1, 10*ms)
+	held := g.requestTo(1, 10*ms)
 	g.advance(200 * ms)
 	if got := g.serve(50, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
 		t.Fatalf("%d sends to the silent host", got[1])
@@ -142,7 +142,7 @@
 
 // A host with one costly request that answers others is not silent.
 func TestHostThatAnswersOthersIsNotSilent(t *testing.T) {
-	g := start(t, basic(), hosts(1)...)
+	g := start(t, testSettings(), hosts(1)...)
 	g.b.hosts[0].limit = 10
 	g.serve(30, 0, func(HostID) time.Duration { return 10 * ms })
 	g.request(0, time.Second)
@@ -157,7 +157,7 @@
 }
 
 func TestFailOpenWhenMostAreOut(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	for _, h := range g.b.hosts[:3] {
 		g.b.eject(h, "test")
 	}
@@ -170,10 +170,10 @@
 // passau big-2: during a release most hosts of a subset were gone before the list told,
 // and failing open sent each request to them six times.
 func TestHostsThatTakeNoConnectionDoNotFailOpen(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	for _, h := range g.b.hosts[:3] {
 		b := g.b
-		id := g.sentTo(h.ID, ms)
+		id := g.requestTo(h.ID, ms)
 		for n := 0; len(g.acts) == 0 || b.hosts[3].ID != g.acts[0].Host; n++ { // until it lands on the last
 			if g.outcome(id, n, ConnectFailed, ms); n > 3 {
 				t.Fatal("never sent to the one host that takes connections")
--- a/feed_test.go
+++ b/feed_test.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// A request whose body took longer than its aim to come is not overdue when it has: its time
-// begins with the last byte, also for those who look for what makes room for others.
+// A request whose body took longer than its aim to arrive is not overdue when it is complete: its
+// time begins with the last byte, also for the search for overdue requests that are ended to make
+// room for waiting ones.
 func TestSlowBodyIsNotOverdueWhenItHasCome(t *testing.T) {
-	g := start(t, basic(), Host{ID: 1})
+	g := start(t, testSettings(), Host{ID: 1})
 	id := g.request(1, time.Second)
 	g.b.Feeding(g.now, id, 0)
 	g.drain()
 	g.advance(3 * time.Second) // its aim is 400 ms
 	g.b.Fed(g.now, id, 0)
 	g.drain()
-	for range 8 { // others wait: what is overdue makes room
+	for range 8 { // others wait, so overdue requests are ended to make room
 		g.request(0, time.Second)
 	}
 	for _, a := range append(g.advance(60*ms), g.acts...) {
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -8,9 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// Gateways whose views differ, each bound as the registry of peers promises (Most at least as many as live,
-// Least at least half of what it counts), send a cold host together no more than makes it fall:
-// the sum of their rates over those that use it stays under its budget.
+// Gateways with different views of the fleet together do not overload a cold host: the sum of the
+// rates of those that use it stays under its budget. The views have the bounds that the peer
+// registry guarantees: Max is at least the number of live instances, and Min at least half of the
+// instances that it counts.
 func TestColdBudgetsHoldWhileViewsDiffer(t *testing.T) {
 	worst := 0.0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -20,13 +21,13 @@
 		cold := rapid.IntRange(0, count-1).Draw(rt, "cold")
 		list[cold].Started = time.Hour - time.Second
 		offset := rapid.Float64Range(0, 0.999).Draw(rt, "offset")
-		warm := rapid.Float64Range(5, 500).Draw(rt, "warm") // requests a second that a warm host serves
+		warm := rapid.Float64Range(5, 500).Draw(rt, "warm") // requests per second that a warm host serves
 		sum, limit := 0.0, 0.0
 		for n := range live {
-			set := basic()
+			set := testSettings()
 			set.Instances = live
 			g := start(t, set, list...)
-			most := live + rapid.IntRange(0, live).Draw(rt, "more") // those that failed or are cut off
+			most := live + rapid.IntRange(0, live).Draw(rt, "more") // instances that failed or are partitioned off
 			least := rapid.IntRange((live+1)/2, max((live+1)/2, most-1)).Draw(rt, "least")
 			_, place := math.Modf(offset + float64(n)/float64(live))
 			g.b.served, g.b.servedAt, g.b.servedFrom = warm, g.now, g.now-time.Hour
@@ -41,33 +42,33 @@
 			limit = share * set.OverloadFactor * warm
 		}
 		if worst = max(worst, sum/limit); sum > limit {
-			rt.Fatalf("%d gateways send %.2f a second together, %.2f makes the host fall", live, sum, limit)
+			rt.Fatalf("%d gateways together send %.2f requests per second, %.2f overload the host", live, sum, limit)
 		}
 	})
-	t.Logf("the most was %.2f of what makes a host fall", worst)
+	t.Logf("the highest load was %.2f of what overloads a host", worst)
 }
 
-// A view changes the part of the hosts by the fewest and the budgets by the most, and what makes
-// no sense changes nothing.
+// A view of the fleet sets the subset size by Min and the budgets and quotas by Max. An invalid view
+// changes nothing.
 func TestFleetNews(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances, set.Rank = 40, 7
 	set.Tenants = []Tenant{{Quota: 400}}
 	g := start(t, set, hosts(60)...)
 	if g.b.subset != 6 || g.b.quota[0].rate != 10 {
-		t.Fatalf("typed: %d hosts, %v a second", g.b.subset, g.b.quota[0].rate)
+		t.Fatalf("by the settings: %d hosts, quota of %v per second", g.b.subset, g.b.quota[0].rate)
 	}
 	before := g.b.shared
 	for _, k := range []Fleet{{}, {Position: 1, Min: 1, Max: 1}, {Position: math.NaN(), Min: 1, Max: 1}, {Position: 0, Min: 3, Max: 2}, {Min: -1, Max: 5}} {
 		if g.b.Fleet(g.now, k); g.b.shared != before {
-			t.Errorf("%+v is taken", k)
+			t.Errorf("the invalid view %+v is accepted", k)
 		}
 	}
 	g.b.Fleet(g.now, Fleet{Position: 0.5, Min: 20, Max: 50})
 	if g.b.subset != 12 || g.b.fleet != 50 || g.b.quota[0].rate != 8 || g.b.ring[0] != g.b.places[30] {
-		t.Errorf("by a view: %d hosts, %v share, %v a second", g.b.subset, g.b.fleet, g.b.quota[0].rate)
+		t.Errorf("by a view: %d hosts, %v instances share them, quota of %v per second", g.b.subset, g.b.fleet, g.b.quota[0].rate)
 	}
-	// Two that agree on nothing but the order of places still use every host between them.
+	// Instances whose views agree only on the order of positions still use every host between them.
 	used := map[HostID]bool{}
 	for n := range 10 {
 		g.b.Fleet(g.now, Fleet{Position: float64(n) / 10, Min: 5 + n, Max: 20})
--- a/harness_test.go
+++ b/harness_test.go
@@ -7,8 +7,8 @@
 
 const ms = time.Millisecond
 
-// basic is a small site with one class of each effect.
-func basic() Settings {
+// testSettings returns the settings of a small deployment with one class of each effect.
+func testSettings() Settings {
 	return Settings{
 		Instances: 1, Step: ms, MaxAttempts: 4, Cancel: true, MaxRetryAfter: time.Second,
 		Classes: []Class{
@@ -20,17 +20,18 @@
 	}
 }
 
-// gateway drives a Balancer by hand.
+// gateway drives a Balancer with scripted events and a scripted clock.
 type gateway struct {
 	*testing.T
 	b    *Balancer
 	now  Time
 	next RequestID
-	acts []Action // of the last event, timers and logs left out
+	acts []Action // actions of the last event, except Wake and Log
 	logs []string
-	wake []Action
+	wake []Action // timers that have not fired
 }
 
+// start returns a gateway whose balancer has started with a saved list of the hosts.
 func start(t *testing.T, set Settings, hosts ...Host) *gateway {
 	t.Helper()
 	b, err := New(set, 7)
@@ -43,6 +44,7 @@
 	return g
 }
 
+// hosts returns n hosts with IDs from 1, two in each cell and zone.
 func hosts(n int) []Host {
 	var list []Host
 	for i := range n {
@@ -82,23 +84,23 @@
 	g.drain()
 }
 
-// advance moves the clock and rings the timers due, oldest first; it returns
-// what was done at them.
+// advance moves the clock forward by d and fires the timers that are due, the oldest first; it
+// returns the actions that they caused.
 func (g *gateway) advance(d time.Duration) []Action {
 	var done []Action
 	for end := g.now + d; ; {
-		best := -1
+		earliest := -1
 		for i, w := range g.wake {
-			if w.At <= end && (best < 0 || w.At < g.wake[best].At) {
-				best = i
+			if w.At <= end && (earliest < 0 || w.At < g.wake[earliest].At) {
+				earliest = i
 			}
 		}
-		if best < 0 {
+		if earliest < 0 {
 			g.now = end
 			return done
 		}
-		w := g.wake[best]
-		g.wake = append(g.wake[:best], g.wake[best+1:]...)
+		w := g.wake[earliest]
+		g.wake = append(g.wake[:earliest], g.wake[earliest+1:]...)
 		g.now = max(g.now, w.At)
 		g.b.Timer(g.now, w.Token)
 		g.drain()
@@ -106,8 +108,8 @@
 	}
 }
 
-// sole returns the only action, which must be of the kind.
-func (g *gateway) sole(kind ActionKind) Action {
+// onlyAction returns the action of the last event, which must be a single one of the kind.
+func (g *gateway) onlyAction(kind ActionKind) Action {
 	g.Helper()
 	if len(g.acts) != 1 || g.acts[0].Kind != kind {
 		g.Fatalf("actions %v, want one of kind %d", g.acts, kind)
@@ -115,28 +117,29 @@
 	return g.acts[0]
 }
 
-// serve sends n requests, each answered after took, and returns where they went.
+// serve sends n requests, one after the other, each answered after took, and returns how many each
+// host received.
 func (g *gateway) serve(n int, class int, took func(HostID) time.Duration) map[HostID]int {
 	g.Helper()
-	got := map[HostID]int{}
+	counts := map[HostID]int{}
 	for range n {
 		id := g.request(class, time.Second)
-		h := g.sole(Send).Host
-		got[h]++
+		h := g.onlyAction(Send).Host
+		counts[h]++
 		d := took(h)
 		g.advance(d)
 		g.outcome(id, 0, OK, d)
 	}
-	return got
+	return counts
 }
 
-// sentTo sends requests until one goes to the host, and returns it; the others are
-// answered after took.
-func (g *gateway) sentTo(host HostID, took time.Duration) RequestID {
+// requestTo sends requests until one goes to the host, and returns that one, unanswered; the
+// others are answered after took.
+func (g *gateway) requestTo(host HostID, took time.Duration) RequestID {
 	g.Helper()
 	for {
 		id := g.request(0, time.Second)
-		if g.sole(Send).Host == host {
+		if g.onlyAction(Send).Host == host {
 			return id
 		}
 		g.outcome(id, 0, OK, took)
@@ -144,11 +147,12 @@
 	}
 }
 
+// drainQuiet discards the collected actions.
 func (b *Balancer) drainQuiet() { b.acts = b.acts[:0] }
 
-// running returns a Balancer with twelve hosts, and its time.
+// running returns a Balancer that has started with twelve hosts, and the current time.
 func running(tb testing.TB) (*Balancer, Time) {
-	b, err := New(basic(), 1)
+	b, err := New(testSettings(), 1)
 	if err != nil {
 		tb.Fatal(err)
 	}
--- a/hosthealth_test.go
+++ b/hosthealth_test.go
@@ -5,120 +5,123 @@
 	"time"
 )
 
-// What others say ejects a host where there was no answer of late, until a trial of its own, and half of
-// the hosts at most; an own answer of late stands against it, and so does the end of its time.
+// Refusals reported by peers eject a host that has given this instance no recent answer, until a
+// probe by this instance succeeds, and at most half of the hosts. A recent answer to this instance
+// overrides the report, and an expired report has no effect.
 func TestOthersRefusalsEjectUntilATrial(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	down := func(id HostID) {
 		g.b.HostHealth(g.now, HostHealth{Host: id, Suspicion: 1, Down: true, Until: g.now + 3*time.Second})
 	}
 	out := func(id HostID) bool { return g.b.byID[id].fails > 0 }
 	down(1)
 	if out(1) {
-		t.Error("a host that has just been heard of is ejected")
+		t.Error("a host with a recent answer is ejected")
 	}
 	g.advance(saidAims * g.b.aim)
 	g.b.HostHealth(g.now, HostHealth{Host: 1, Down: true, Until: g.now})
 	g.b.HostHealth(g.now, HostHealth{Host: 99, Down: true, Until: g.now + time.Second})
 	if out(1) {
-		t.Error("what is worth nothing any more ejects it")
+		t.Error("an expired report or one about an unknown host ejects it")
 	}
 	for id := range HostID(4) {
 		down(id + 1)
 	}
 	if !out(1) || !out(2) || out(3) || out(4) {
-		t.Error("of four hosts two are ejected at most, and two were to be")
+		t.Error("want exactly two of the four hosts ejected")
 	}
 	if got := g.serve(40, 0, func(HostID) time.Duration { return 10 * ms }); got[1]+got[2] > 0 {
-		t.Errorf("hosts that are out got %v", got)
+		t.Errorf("requests by host %v, want none at the ejected hosts 1 and 2", got)
 	}
 	g.advance(g.b.byID[1].ejectUntil - g.now + g.b.byID[2].ejectUntil)
 	g.serve(60, 0, func(HostID) time.Duration { return 10 * ms })
 	if out(1) || out(2) {
-		t.Error("a trial that was answered does not bring a host back")
+		t.Error("a host is still ejected after a successful probe")
 	}
 	down(1)
 	if out(1) {
-		t.Error("others' refusals count more than an own answer")
+		t.Error("refusals reported by peers override a recent answer to this instance")
 	}
 }
 
-// While others try a host it waits, for as long as is heard; when they were answered it is tried soon, an own back-off
-// that is longer notwithstanding, and one whose turn it is tries at once.
+// While peers probe a host, this instance does not use it, for as long as the reports last. Once the
+// probes succeed, it uses the host soon, even if its own back-off is longer. When it is this
+// instance's turn to probe, it does so at once.
 func TestOthersTryAHost(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	g.advance(saidAims * g.b.aim)
 	h := g.b.byID[1]
-	hear := func(down, wait bool) {
+	report := func(down, wait bool) {
 		g.b.HostHealth(g.now, HostHealth{Host: 1, Down: down, Wait: wait, Until: g.now + 3*time.Second})
 	}
 	took := func(HostID) time.Duration { return 10 * ms }
 	for range 4 {
-		hear(true, true)
+		report(true, true)
 		g.advance(2 * time.Second)
 		if got := g.serve(20, 0, took); got[1] > 0 {
-			t.Fatalf("a host that others try got %v", got)
+			t.Fatalf("requests by host %v, want none at host 1 while peers probe it", got)
 		}
 	}
 	h.ejectUntil = g.now + time.Hour
-	hear(false, false)
+	report(false, false)
 	if wait := h.ejectUntil - g.now; wait > saidAims*g.b.aim || h.fails == 0 {
-		t.Errorf("others were answered, and it is tried in %v at the earliest, fails %d", wait, h.fails)
+		t.Errorf("after the probes of peers succeeded it stays ejected for %v, fails %d", wait, h.fails)
 	}
-	hear(true, true)
-	hear(true, false)
+	report(true, true)
+	report(true, false)
 	if h.waits || h.ejectUntil > g.now+saidAims*g.b.aim {
-		t.Error("whose turn it is waits")
+		t.Error("the instance waits although it is its turn to probe")
 	}
 	g.advance(saidAims * g.b.aim)
 	if got := g.serve(20, 0, took); got[1] == 0 || h.fails > 0 {
-		t.Errorf("nobody tried it: %v", got)
+		t.Errorf("the host was not used again: requests by host %v", got)
 	}
 }
 
-// A host that others doubt gets less, and nothing that must not run twice, until the doubt's end or the
-// host's next start.
+// A host under suspicion by peers gets fewer requests and, at full suspicion, no unsafe ones, until
+// the report expires or the host restarts.
 func TestOthersDoubtsMakeAHostSlower(t *testing.T) {
 	took := func(HostID) time.Duration { return 10 * ms }
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	g.serve(400, 0, took)
-	hear := func(doubt float64) {
-		g.b.HostHealth(g.now, HostHealth{Host: 1, Suspicion: doubt, Until: g.now + time.Hour})
+	report := func(suspicion float64) {
+		g.b.HostHealth(g.now, HostHealth{Host: 1, Suspicion: suspicion, Until: g.now + time.Hour})
 	}
-	hear(0.9)
+	report(0.9)
 	if got := g.serve(400, 0, took); got[1] > 40 {
-		t.Errorf("a host that is doubted got %v", got)
+		t.Errorf("requests by host %v, want at most 40 at host 1, which is under suspicion", got)
 	}
-	hear(1)
+	report(1)
 	if got := g.serve(200, 2, took); got[1] > 0 {
-		t.Errorf("unsafe requests went to a host that is doubted whole: %v", got)
+		t.Errorf("unsafe requests by host %v, want none at host 1 under full suspicion", got)
 	}
 	h := hosts(4)[0]
 	h.Started = g.now
 	g.list(ListChanges, h)
 	if g.b.until(g.b.byID[1].doubt, g.b.byID[1].doubtUntil) > 0 {
-		t.Error("a doubt outlives the host's start")
+		t.Error("the suspicion lasts after the host has restarted")
 	}
-	hear(1)
+	report(1)
 	g.advance(time.Hour)
 	g.b.Usable(g.now, 0)
 	if g.b.until(g.b.byID[1].doubt, g.b.byID[1].doubtUntil) > 0 {
-		t.Error("a doubt outlives its time")
+		t.Error("the suspicion lasts after the report has expired")
 	}
 }
 
-// What others have out counts as own pending does, but for one request in blindIn, and not beyond its end.
+// Attempts that peers have in flight count like this instance's own, except for one request in
+// blindIn, and not after the report has expired.
 func TestOthersLoadCounts(t *testing.T) {
-	g := start(t, basic(), hosts(3)...)
+	g := start(t, testSettings(), hosts(3)...)
 	took := func(HostID) time.Duration { return 10 * ms }
 	g.serve(60, 0, took)
 	g.b.Crowded(g.now, PeerLoad{Host: 1, InFlight: 1000, Until: g.now + time.Hour})
 	g.b.Crowded(g.now, PeerLoad{Host: 99, InFlight: 1, Until: g.now + time.Hour})
 	if got := g.serve(400, 0, took); got[1] == 0 || got[1] > 400/blindIn {
-		t.Errorf("a host of which others say that it is full got %v, want some, %d at most", got, 400/blindIn)
+		t.Errorf("requests by host %v, want from 1 to %d at host 1, which peers report as full", got, 400/blindIn)
 	}
 	g.advance(time.Hour)
 	if got := g.serve(300, 0, took); got[1] < 60 {
-		t.Errorf("behind the end of what was said hosts got %v", got)
+		t.Errorf("requests by host %v after the report expired, want at least 60 at host 1", got)
 	}
 }
--- a/hosts_test.go
+++ b/hosts_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// What the gateway stood still is no slowness of hosts: limits stay, nobody is ejected as
-// silent, and a slow host is told all the same.
+// A stall of the gateway itself does not count as slowness of the hosts: limits stay and no host
+// is ejected as silent. A host that is slow without a stall is still detected.
 func TestOwnStallsAreLeftOut(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	for range 40 {
 		id := g.request(0, time.Second)
 		g.advance(5 * ms)
@@ -21,7 +21,7 @@
 		for range 4 {
 			ids = append(ids, g.request(0, time.Second))
 		}
-		// All stands still for 300 ms; the answers had come after 5.
+		// The process stalls for 300 ms; the answers arrived after 5 ms.
 		g.now += 300 * ms
 		g.b.Stood(g.now, 295*ms)
 		g.advance(0)
@@ -45,15 +45,16 @@
 		}
 	}
 	if h := g.b.hosts[0]; h.limit >= before {
-		t.Errorf("limit %v: a host that is slow by itself is not told", h.limit)
+		t.Errorf("limit %v: a host that is slow without a stall is not detected", h.limit)
 	}
 }
 
-// Backups get work where no other host can, and none where those are merely full.
+// Backup hosts get requests when no other host can take any, and none when the others are merely
+// at their limits.
 func TestBackups(t *testing.T) {
 	list := hosts(4)
 	list[2].Backup, list[3].Backup = true, true
-	g := start(t, basic(), list...)
+	g := start(t, testSettings(), list...)
 	at := map[HostID]int{}
 	send := func() (id RequestID, host HostID) {
 		id = g.request(0, time.Second)
@@ -69,20 +70,20 @@
 		g.advance(ms)
 	}
 	if at[3]+at[4] > 0 {
-		t.Fatalf("backups got work: %v", at)
+		t.Fatalf("backup hosts 3 and 4 got requests: %v", at)
 	}
 	held := 0
-	for range 50 { // all that the others may hold
+	for range 50 { // up to the in-flight limits of the others
 		if _, host := send(); host != 0 {
 			held++
 		}
 	}
 	if at[3]+at[4] > 0 || held == 50 {
-		t.Fatalf("backups got what the others had no room for: %v", at)
+		t.Fatalf("backup hosts 3 and 4 got requests because the others were at their limits: %v", at)
 	}
-	g = start(t, basic(), list...)
+	g = start(t, testSettings(), list...)
 	clear(at)
-	for range 30 { // the others take no connection
+	for range 30 { // connections to the others fail
 		id, host := send()
 		n := 0
 		for host == 1 || host == 2 {
@@ -101,7 +102,7 @@
 		g.advance(ms)
 	}
 	if at[3]+at[4] < 25 {
-		t.Errorf("backups got %d of 30 requests that no other host took: %v", at[3]+at[4], at)
+		t.Errorf("backup hosts got %d of 30 requests that no other host accepted: %v", at[3]+at[4], at)
 	}
 	list[0].State, list[1].State = Removed, Removed
 	g.list(ListChanges, list[:2]...)
@@ -113,8 +114,8 @@
 	g.outcome(id, 0, OK, 5*ms)
 }
 
-// Weights: over 10,000 requests at hosts that are alike each gets its share, within a fifth
-// of it or a hundredth of all.
+// Over 10,000 requests, hosts that differ only in weight each get their share, within a fifth of
+// that share or a hundredth of all requests.
 func TestWeights(t *testing.T) {
 	for _, weights := range [][]float64{{5, 1, 1}, {10, 5, 3, 2}, {100, 1}} {
 		list := hosts(len(weights))
@@ -123,12 +124,12 @@
 			list[i].Weight = w
 			sum += w
 		}
-		g := start(t, basic(), list...)
+		g := start(t, testSettings(), list...)
 		at := make([]int, len(weights))
 		rng := rand.New(rand.NewPCG(1, 2))
 		for i := range 13_000 {
 			id := g.request(0, time.Second)
-			if i == 3000 { // what is not known of hosts that have given no sample is behind it
+			if i == 3000 { // the phase in which hosts have no samples is over
 				clear(at)
 			}
 			at[g.acts[0].Host-1]++
@@ -144,10 +145,10 @@
 	}
 }
 
-// A host that has too much to do loses work for as long as it says, up to a bound, and what
-// it answered may have run.
+// A host that answers Busy gets fewer requests for as long as its hint says, up to a bound, and a
+// request that it answered so counts as one that may have run.
 func TestBusyAndHints(t *testing.T) {
-	g := start(t, basic(), hosts(2)...)
+	g := start(t, testSettings(), hosts(2)...)
 	for range 20 {
 		id := g.request(0, time.Second)
 		g.advance(5 * ms)
@@ -179,9 +180,9 @@
 		g.outcome(id, 0, OK, 5*ms)
 	}
 	if at > 2 {
-		t.Errorf("%d of 100 requests go to a host that wants to be left alone", at)
+		t.Errorf("%d of 100 requests go to a host that asked for a delay", at)
 	}
 	if h.fails > 0 {
-		t.Error("it is ejected for it")
+		t.Error("the host is ejected for a Busy answer")
 	}
 }
--- a/load_test.go
+++ b/load_test.go
@@ -8,7 +8,7 @@
 
 // incidents i4dd726, ib2aec1: every host held more than it could serve in time.
 func TestInFlightIsBoundedAndLineIsWorthFirst(t *testing.T) {
-	g := start(t, basic(), hosts(2)...)
+	g := start(t, testSettings(), hosts(2)...)
 	out := map[RequestID]bool{}
 	for range 30 {
 		g.request(0, time.Second)
@@ -31,7 +31,7 @@
 }
 
 func TestWaitingTooLongIsRefusedEarly(t *testing.T) {
-	g := start(t, basic(), hosts(1)...)
+	g := start(t, testSettings(), hosts(1)...)
 	for range 10 {
 		g.request(0, time.Second)
 	}
@@ -51,7 +51,7 @@
 
 // zurich incident i836603: late requests in a line below a full one waited on.
 func TestLateRequestsAreRefusedInEveryLine(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Classes[0].Deadline = 2 * time.Second
 	set.Classes[1].Deadline, set.Classes[1].Aim = 2*time.Second, 2*time.Second // worth more
 	g := start(t, set)
@@ -68,7 +68,7 @@
 }
 
 func TestLimitFollowsRTT(t *testing.T) {
-	g := start(t, basic(), hosts(1)...)
+	g := start(t, testSettings(), hosts(1)...)
 	h := g.b.hosts[0]
 	for range 40 {
 		g.b.now += 300 * ms
@@ -99,7 +99,7 @@
 // serra incidents i06a801, ie8003c: small cuts, one an answer, came too late to
 // keep hosts from tipping; many at once would be one too many.
 func TestLimitIsCutOnceARound(t *testing.T) {
-	g := start(t, basic(), hosts(1)...)
+	g := start(t, testSettings(), hosts(1)...)
 	h := g.b.hosts[0]
 	h.limit = 40
 	target := limitAims * g.b.aim.Seconds()
@@ -121,11 +121,11 @@
 // serra incident ic8b233: hosts that turned all away at once, while the others
 // were at their limits, drew all that waited.
 func TestFullHostIsGivenLess(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances = 4
 	g := start(t, set, hosts(1)...)
 	id := g.request(0, time.Second)
-	g.sole(Send)
+	g.onlyAction(Send)
 	g.now += ms
 	g.outcome(id, 0, Full, ms)
 	if h := g.b.hosts[0]; h.limit >= limitStart {
@@ -136,13 +136,13 @@
 // regensburg big-2: 70 of 100 requests refused while hosts idled, as one long RTT
 // rested a host for seconds at every one of many instances.
 func TestThinViewDoesNotStarveHosts(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances = 240
 	g := start(t, set, hosts(48)...)
 	g.b.admit = 1
 	for range 40 {
 		id := g.request(0, time.Second)
-		g.sole(Send)
+		g.onlyAction(Send)
 		g.advance(160 * ms) // over the target of the limit, but in time
 		g.outcome(id, 0, OK, 160*ms)
 	}
@@ -151,7 +151,7 @@
 // obb overload, big-2: with no limit that holds at size, late answers crowded every
 // host. Requests are shed by worth while answers are late, and taken again after.
 func TestLateAnswersShedTheLeastWorthFirst(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances = 40
 	g := start(t, set, hosts(20)...)
 	g.b.admit = 1
@@ -184,7 +184,7 @@
 // obb rough-1: hosts so late that attempts were called off at the deadline told
 // nothing, and requests were admitted on.
 func TestOverdueAttemptsCountAsLate(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances = 40
 	g := start(t, set, hosts(20)...)
 	for range 60 {
@@ -207,9 +207,9 @@
 // until their deadlines, and a third of the others was refused.
 func TestCostlyRequestsMakeRoom(t *testing.T) {
 	for class, want := range map[int]ActionKind{0: Refuse, 1: Fail, 2: Send} {
-		g := start(t, basic(), hosts(1)...)
+		g := start(t, testSettings(), hosts(1)...)
 		costly := g.request(class, time.Second)
-		g.sole(Send)
+		g.onlyAction(Send)
 		if acts := g.advance(500 * ms); len(acts) > 0 {
 			t.Fatalf("class %d past its aim, while none waits: %v", class, acts)
 		}
@@ -238,7 +238,7 @@
 }
 
 func TestOverQuotaWaitsBehind(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Tenants = []Tenant{{Quota: 1}, {Quota: 1000}}
 	set.OverQuotaWorth = 0.05
 	g := start(t, set)
@@ -271,7 +271,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			g := start(t, basic(), hosts(1)...)
+			g := start(t, testSettings(), hosts(1)...)
 			for range limitStart {
 				g.request(0, time.Second)
 			}
@@ -295,7 +295,7 @@
 // A host whose table of connections is full turns requests away unseen: it is not broken, those
 // requests may go elsewhere whatever their class, and next to nothing more comes to it.
 func TestFullTableIsNoBrokenHost(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances = 80
 	g := start(t, set, hosts(60)...)
 	g.b.admit = 1
@@ -337,7 +337,7 @@
 // A gateway that sees an answer now and then sheds for none that was costly, for a crowd that it
 // met several times it does, and no more two aims after: evidence that is not renewed is none.
 func TestOneCostlyAnswerIsNoCrowd(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances = 200
 	g := start(t, set, hosts(40)...)
 	ask := func(n int, took time.Duration) (refused int) {
--- a/repeats_test.go
+++ b/repeats_test.go
@@ -21,7 +21,7 @@
 		{2, Full, again}, {2, ConnectFailed, again}, {2, NotSent, again},
 	}
 	for _, tt := range tests {
-		g := start(t, basic(), hosts(2)...)
+		g := start(t, testSettings(), hosts(2)...)
 		id := g.request(tt.class, time.Second)
 		g.advance(20 * ms)
 		g.outcome(id, 0, tt.result, 20*ms)
@@ -41,7 +41,7 @@
 		GroupZone: func(a, b Host) bool { return a.Zone == b.Zone },
 		GroupCell: func(a, b Host) bool { return a.Cell == b.Cell },
 	} {
-		set := basic()
+		set := testSettings()
 		set.Classes[1].Group = group
 		list := []Host{{ID: 1, Zone: 0, Cell: 0}, {ID: 2, Zone: 0, Cell: 1}, {ID: 3, Zone: 1, Cell: 2},
 			{ID: 4, Zone: 0, Cell: 0}, {ID: 5, Zone: 0, Cell: 1}, {ID: 6, Zone: 1, Cell: 2}}
@@ -50,9 +50,9 @@
 			g := start(t, set, list...)
 			g.b.rng += uint64(other)*977 + 1
 			id := g.request(1, time.Second)
-			first := list[g.sole(Send).Host-1]
+			first := list[g.onlyAction(Send).Host-1]
 			g.outcome(id, 0, Failed, ms)
-			second := list[g.sole(Send).Host-1]
+			second := list[g.onlyAction(Send).Host-1]
 			if !same(first, second) {
 				t.Fatalf("group %d: sent to %+v, then to %+v", group, first, second)
 			}
@@ -62,17 +62,17 @@
 }
 
 func TestKeyedIsNotRepeatedAfterItsWindow(t *testing.T) {
-	g := start(t, basic(), hosts(2)...)
+	g := start(t, testSettings(), hosts(2)...)
 	id := g.request(1, time.Second)
 	g.advance(599 * ms)
 	g.outcome(id, 0, Failed, 599*ms)
-	g.sole(Fail)
+	g.onlyAction(Fail)
 }
 
 func TestKeyedWhoseGroupIsGoneFails(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	id := g.request(1, time.Second)
-	cell := int(g.sole(Send).Host-1) / 2
+	cell := int(g.onlyAction(Send).Host-1) / 2
 	var left []Host
 	for _, h := range hosts(4) {
 		if h.Cell != cell {
@@ -88,15 +88,15 @@
 }
 
 func TestAttemptsAreBounded(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.MaxAttempts = 3
 	g := start(t, set, hosts(8)...)
 	id := g.request(2, time.Second)
 	for n := range 3 {
-		g.sole(Send)
+		g.onlyAction(Send)
 		g.outcome(id, n, Full, ms)
 	}
-	g.sole(Refuse)
+	g.onlyAction(Refuse)
 }
 
 // A keyed request that may have run is refused only while hosts drop what its client sends again.
@@ -105,18 +105,18 @@
 		after time.Duration // from the first attempt to the answer
 		want  ActionKind
 	}{{100 * ms, Refuse}, {300 * ms, Refuse}, {301 * ms, Fail}, {599 * ms, Fail}} {
-		set := basic()
+		set := testSettings()
 		set.Classes[1].Group, set.MaxAttempts, set.MaxRetryAfter = GroupAll, 1, 300*ms
 		g := start(t, set, hosts(2)...)
 		id := g.request(1, time.Second)
 		g.advance(c.after)
 		g.outcome(id, 0, Failed, c.after)
-		g.sole(c.want)
+		g.onlyAction(c.want)
 	}
 }
 
 func TestStreamBelongsToItsAttempt(t *testing.T) {
-	g := start(t, basic(), hosts(2)...)
+	g := start(t, testSettings(), hosts(2)...)
 	id := g.request(0, 500*ms)
 	g.b.Started(g.now, id, 0)
 	if done := g.advance(2 * time.Second); len(done) != 0 {
--- a/settings_test.go
+++ b/settings_test.go
@@ -28,9 +28,9 @@
 		"cold from":        func(s *Settings) { s.ColdFrom = math.Inf(1) },
 		"tenant 0":         func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
 	}
-	for want, spoil := range bad {
-		set := basic()
-		spoil(&set)
+	for want, invalidate := range bad {
+		set := testSettings()
+		invalidate(&set)
 		if b, err := New(set, 1); b != nil || err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v", want, err)
 		}
@@ -60,7 +60,7 @@
 }
 
 func TestLogLinesAreFew(t *testing.T) {
-	g := start(t, basic(), hosts(40)...)
+	g := start(t, testSettings(), hosts(40)...)
 	for _, h := range g.b.hosts[:10] {
 		g.b.eject(h, "silent")
 	}
@@ -76,7 +76,7 @@
 	}
 }
 
-// Every line that the balancer can log stands word for word in the README.
+// Every line that the balancer can log is listed word for word in docs/platform.md.
 func TestLogLinesAreExplained(t *testing.T) {
 	code, err := os.ReadFile("balancer.go")
 	if err != nil {
@@ -105,13 +105,14 @@
 		}
 		want = strings.ReplaceAll(want, "%%", "%")
 		if !regexp.MustCompile("`" + want + "`").Match(page) {
-			t.Errorf("README.md does not explain %q", line)
+			t.Errorf("docs/platform.md does not explain %q", line)
 		}
 	}
 }
 
-// Whoever is on call reads the whole policy at night: all files that the deploy
-// file names as policy, 1,200 lines in sum.
+// An operator must be able to read the decision logic during an incident, so each file that the
+// deploy file lists as policy is limited to 1,200 lines that are not blank, of at most 110
+// characters.
 func TestPolicyStaysReadable(t *testing.T) {
 	deploy, err := os.ReadFile("deploy/balancer.toml")
 	if err != nil {
@@ -119,7 +120,7 @@
 	}
 	m := regexp.MustCompile(`(?m)^policy = \[(.*)\]$`).FindSubmatch(deploy)
 	if m == nil {
-		t.Fatal("the deploy file names no policy")
+		t.Fatal("deploy/balancer.toml has no list of policy files")
 	}
 	for _, f := range regexp.MustCompile(`"([^"]+)"`).FindAllSubmatch(m[1], -1) {
 		name := string(f[1])
@@ -129,7 +130,7 @@
 		}
 		lines := 0
 		for i, l := range bytes.Split(text, []byte("\n")) {
-			if len(bytes.TrimSpace(l)) > 0 { // as the bench counts
+			if len(bytes.TrimSpace(l)) > 0 { // the benchmark counts lines the same way
 				lines++
 			}
 			if n := len([]rune(strings.ReplaceAll(string(l), "\t", "    "))); n > 110 {
--- a/stagger_test.go
+++ b/stagger_test.go
@@ -63,7 +63,7 @@
 	list := hosts(fleet.warm)
 	fresh := Host{ID: HostID(fleet.warm + 1), Started: time.Hour}
 	for rank, rate := range fleet.figures(r) {
-		set := basic()
+		set := testSettings()
 		set.Instances, set.Rank = fleet.instances, rank
 		g := start(t, set, list...)
 		g.b.served, g.b.servedAt, g.b.servedFrom = rate, g.now, g.now-time.Hour
@@ -188,7 +188,7 @@
 	for _, fleet := range []int{1, 2, 3, 10, 30, 100, 300, 1000} {
 		var at []float64
 		for k := range fleet { // in the order of their places
-			set := basic()
+			set := testSettings()
 			set.Instances = fleet
 			b, err := New(set, 1)
 			if err != nil {
--- a/subset_test.go
+++ b/subset_test.go
@@ -9,7 +9,7 @@
 // All incidents at size: 97 of 100 attempts got no connection, as each of hundreds
 // of instances drew from the whole list.
 func TestSubsetsAreSmallEvenAndStable(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances = 240
 	list := hosts(48)
 	meet := map[HostID]int{}
@@ -52,7 +52,7 @@
 // With 36 of 60 hosts replaced in a fleet of 80, those that had warmed up went on counting as
 // cold until the next list, so each instance thought that the few others were shared by all.
 func TestHostsThatWarmUpCountAtOnce(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances = 80
 	list := hosts(60)
 	for i := range 36 {
@@ -74,7 +74,7 @@
 
 // Lists of odd sizes: none, one host named twice, and far more than any fleet has.
 func TestListsOfOddSizes(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances, set.Rank = 200, 199
 	g := start(t, set)
 	g.b.admit = 1
@@ -110,7 +110,7 @@
 	for _, n := range []struct{ instances, hosts int }{{2, 12}, {20, 30}, {80, 60}, {200, 60}, {200, 200}} {
 		meet := map[HostID]int{}
 		for rank := range n.instances {
-			set := basic()
+			set := testSettings()
 			set.Instances, set.Rank = n.instances, rank
 			g := start(t, set, hosts(n.hosts)...)
 			g.b.pick(&request{class: &g.b.set.Classes[0]})
@@ -132,7 +132,7 @@
 
 // A small fleet goes on drawing from the whole list.
 func TestSmallFleetDrawsFromAll(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances = subsetMeet
 	g := start(t, set, hosts(20)...)
 	g.b.pick(&request{class: &g.b.set.Classes[0]})
@@ -143,7 +143,7 @@
 
 // The next hosts of the ring stand in for those of the subset that are out.
 func TestSubsetIsMadeUpWhenHostsAreOut(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances = 240
 	g := start(t, set, hosts(48)...)
 	for out, want := range []int{subsetLeast, 3, 2} { // two are left to choose from
@@ -160,7 +160,7 @@
 // the rest.
 func TestDrawIsOfReadyHosts(t *testing.T) {
 	const n = 200
-	g := start(t, basic(), hosts(n)...)
+	g := start(t, testSettings(), hosts(n)...)
 	var leaving []Host
 	for i := range n / 4 {
 		leaving = append(leaving, Host{ID: g.b.hosts[i*4].ID, State: Draining})
@@ -204,7 +204,7 @@
 // However the list changes, the hosts stand in the order of their places, each ready one
 // once, as if they had been sorted anew.
 func TestPlacesAreKeptInOrder(t *testing.T) {
-	g := start(t, basic(), hosts(50)...)
+	g := start(t, testSettings(), hosts(50)...)
 	next := HostID(1000)
 	for round := range 300 {
 		var list []Host
@@ -244,7 +244,7 @@
 // Hosts that are alike get alike of few requests, though some are costly; one that is slower by
 // far gets less.
 func TestHostsAlikeAreDealtAlike(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	g.serve(40, 0, func(HostID) time.Duration { return 20 * ms })
 	costly := 0
 	got := g.serve(40, 0, func(HostID) time.Duration {
@@ -267,7 +267,7 @@
 // An instance that has most of the load draws from more hosts, so that it is not refused for its
 // own requests; cold hosts beyond its subset have others that pace them and get nothing of it.
 func TestOwnLoadWidensTheSubset(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Instances, set.MaxAttempts = 100, 1
 	list := hosts(40)
 	for i := range list[20:] {
