--- a/ban_test.go
+++ b/ban_test.go
@@ -8,22 +8,23 @@
 	"pgregory.net/rapid"
 )
 
-// Ban, list and drain are facts apart: whatever their order, nothing goes to a host unless the
-// list has it ready and it is not out by hand, and a ban ends with its own call alone.
+// Ban, host list and drain are independent: whatever their order, no request is sent to a host
+// unless the list has it as ready and no operator has taken it out of service, and only a call of Ban
+// ends a ban.
 func TestBansAreFactsOfTheirOwn(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		const n = 4
 		g := start(t, testSettings(), hosts(n)...)
 		var out [n + 1]bool
 		var listed [n + 1]HostState
-		open := map[RequestID]int{} // attempts begun and not ended
+		open := map[RequestID]int{} // number of attempts, for requests with an attempt in flight
 		check := func() {
 			for _, a := range g.acts {
 				if a.Kind != Send {
 					continue
 				}
 				if out[a.Host] || listed[a.Host] != Ready {
-					rt.Fatalf("sent to host %d: out by hand %v, listed %v", a.Host, out[a.Host], listed[a.Host])
+					rt.Fatalf("sent to host %d: taken out of service %v, listed as %v", a.Host, out[a.Host], listed[a.Host])
 				}
 				open[a.Request]++
 			}
@@ -52,7 +53,7 @@
 			case 4:
 				for _, a := range g.advance(time.Duration(rapid.IntRange(1, 900).Draw(rt, "ms")) * ms) {
 					if a.Kind == Send && (out[a.Host] || listed[a.Host] != Ready) {
-						rt.Fatalf("sent to host %d in time", a.Host)
+						rt.Fatalf("sent to host %d when a timer fired", a.Host)
 					}
 					if a.Kind == Send {
 						open[a.Request]++
@@ -65,32 +66,33 @@
 	})
 }
 
-// A keyed request whose attempt at a host under work was lost goes to its group's other host;
-// with the group wholly out it fails, and an open attempt there ends as it ends.
+// A keyed request whose attempt at a banned host was lost is retried at the other host of its
+// group. When the whole group is banned, the request fails. An attempt in flight at a banned host is
+// not interrupted.
 func TestBanUnderAKeyedRequest(t *testing.T) {
-	for _, whole := range []bool{false, true} {
+	for _, wholeGroup := range []bool{false, true} {
 		g := start(t, testSettings(), hosts(4)...)
 		id := g.request(1, time.Second)
 		first := g.onlyAction(Send).Host
-		twin := (first - 1) ^ 1 + 1 // hosts 1 and 2 are a cell, 3 and 4 another
+		sibling := (first - 1) ^ 1 + 1 // hosts 1 and 2 form one cell, 3 and 4 another
 		g.b.Ban(g.now, first, true)
-		if whole {
-			g.b.Ban(g.now, twin, true)
+		if wholeGroup {
+			g.b.Ban(g.now, sibling, true)
 		}
 		g.drain()
 		g.outcome(id, 0, Reset, 10*ms)
-		if whole {
+		if wholeGroup {
 			if acts := append(g.acts, g.advance(time.Second)...); len(acts) != 1 || acts[0].Kind != Fail {
-				t.Errorf("group wholly out: %v, want one Fail", acts)
+				t.Errorf("whole group banned: %v, want one Fail", acts)
 			}
-		} else if a := g.onlyAction(Send); a.Host != twin {
-			t.Errorf("goes on to %d, want %d", a.Host, twin)
+		} else if a := g.onlyAction(Send); a.Host != sibling {
+			t.Errorf("retried at host %d, want %d", a.Host, sibling)
 		}
 	}
 }
 
-// A host that is called back is cold and as new, and gets work soon, also where others would
-// be chosen for ever; one that does not answer yet is tried again.
+// A host that is put back into service counts as cold and as unknown, and gets a request soon, even
+// when the other hosts would always be preferred. When it does not answer yet, it is tried again.
 func TestCalledBackHostIsColdAndUsedSoon(t *testing.T) {
 	set := testSettings()
 	set.Instances, set.Rank = 8, 3 // most hosts are beyond this instance's subset
@@ -103,39 +105,39 @@
 	g.list(ListChanges, Host{ID: last, State: Removed})
 	g.list(ListChanges, list[last-1])
 	if got := g.serve(200, 0, took); got[last] > 0 {
-		t.Fatalf("%d requests to a host that is out, after it left and came back", got[last])
+		t.Fatalf("%d requests to a banned host after it left the list and returned", got[last])
 	}
 	g.b.Ban(g.now, last, false)
 	g.b.Ban(g.now, last, false)
 	h := g.b.byID[last]
 	if !h.cold || !h.fresh || h.coldAt != g.now {
-		t.Errorf("called back it is cold %v, new %v", h.cold, h.fresh)
+		t.Errorf("put back into service: cold %v, no samples %v, want both true", h.cold, h.fresh)
 	}
-	from, met := g.now, 0
-	for met < 3 && g.now-from < 5*time.Second {
+	from, sent := g.now, 0
+	for sent < 3 && g.now-from < 5*time.Second {
 		id := g.request(0, time.Second)
 		g.advance(5 * ms)
 		switch a := g.b.reqs[id].atts[0]; {
 		case a.host.ID != last:
 			g.outcome(id, 0, OK, 5*ms)
-		case met < 2: // it comes up late
-			met++
+		case sent < 2: // it is not ready yet
+			sent++
 			g.outcome(id, 0, ConnectFailed, 5*ms)
 			if g.b.reqs[id] != nil && len(g.b.reqs[id].atts) > 1 {
 				g.outcome(id, 1, OK, 5*ms)
 			}
 		default:
-			met++
+			sent++
 			g.outcome(id, 0, OK, 5*ms)
 		}
 	}
-	if met < 3 {
-		t.Errorf("met %d times within 5 s of the call, want 3", met)
+	if sent < 3 {
+		t.Errorf("%d requests sent to it within 5 s, want 3", sent)
 	}
-	g.b.Ban(g.now, 99, true) // nobody has it; it may come
+	g.b.Ban(g.now, 99, true) // not listed yet, but it may be later
 	g.list(ListChanges, Host{ID: 99})
 	if got := g.serve(100, 0, took); got[99] > 0 {
-		t.Errorf("a host that was out before it was listed got %d", got[99])
+		t.Errorf("a host that was banned before it was listed got %d requests", got[99])
 	}
 	for _, h := range list {
 		g.b.Ban(g.now, h.ID, true)
@@ -143,6 +145,6 @@
 	g.drain()
 	id := g.request(2, time.Second)
 	if acts := g.advance(time.Second); len(g.acts)+len(acts) == 0 || acts[0].Kind != Refuse || acts[0].Request != id {
-		t.Errorf("with all hosts out: %v", fmt.Sprint(acts))
+		t.Errorf("with all hosts banned: %v, want one refusal", fmt.Sprint(acts))
 	}
 }
--- a/bench_test.go
+++ b/bench_test.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// sizes of the host lists that are measured.
+// sizes are the lengths of the host lists that are measured.
 var sizes = []int{10, 100, 1000, 10_000}
 
-func sized(b *testing.B, n int) *Balancer {
+// newSized returns a balancer with n hosts.
+func newSized(b *testing.B, n int) *Balancer {
 	b.Helper()
 	bal, err := New(Settings{Instances: 1, Classes: []Class{{Aim: time.Second, Deadline: 4 * time.Second}}, MaxAttempts: 4, Cancel: true}, 1)
 	if err != nil {
@@ -24,11 +25,11 @@
 	return bal
 }
 
-// BenchmarkDecision is a request from its arrival to its answer.
+// BenchmarkDecision measures one request from its arrival to its answer.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			bal := sized(b, n)
+			bal := newSized(b, n)
 			var acts []Action
 			now := Time(time.Second)
 			b.ReportAllocs()
@@ -45,20 +46,20 @@
 	}
 }
 
-// BenchmarkChange is a list of which 1% changes: as many hosts go as come.
+// BenchmarkChange measures a change of 1% of the list: as many hosts are removed as added.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range sizes[1:] {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			bal := sized(b, n)
-			part := max(1, n/100)
+			bal := newSized(b, n)
+			changed := max(1, n/100)
 			next := n + 1
-			list := make([]Host, 0, 2*part)
+			list := make([]Host, 0, 2*changed)
 			now := Time(time.Second)
 			var acts []Action
 			b.ReportAllocs()
 			for b.Loop() {
 				list = list[:0]
-				for range part {
+				for range changed {
 					list = append(list, Host{ID: HostID(next - n), State: Removed}, Host{ID: HostID(next)})
 					next++
 				}
--- a/coldhost_test.go
+++ b/coldhost_test.go
@@ -18,13 +18,13 @@
 	h.Started = g.now
 	g.list(ListChanges, h)
 	got := serve(100) // one second
-	most := rate*set.OverloadFactor*0.4 + 2
-	if n := float64(got[3]); n > most || n == 0 {
-		t.Errorf("%v sends in the first second at a warm rate of %.0f, want 1 to %.0f", n, rate, most)
+	limit := rate*set.OverloadFactor*0.4 + 2
+	if n := float64(got[3]); n > limit || n == 0 {
+		t.Errorf("%v requests sent in the first second at a warm rate of %.0f, want 1 to %.0f", n, rate, limit)
 	}
 	serve(900)
 	if got := serve(300); got[3] < 60 {
-		t.Errorf("shares %v once warm, want a full share", got)
+		t.Errorf("requests by host %v, want a full share for host 3 once it is warm", got)
 	}
 }
 
@@ -38,12 +38,12 @@
 	g.onlyAction(Send)
 	g.outcome(id, 0, Full, ms)
 	if len(g.acts) != 0 {
-		t.Errorf("sent %v again at once, with nothing learnt of warm hosts", g.acts)
+		t.Errorf("retry %v sent at once, although nothing is known of warm hosts", g.acts)
 	}
 }
 
-// Found by fuzzing: a learnt rate decayed to almost nothing turned into a gap
-// below zero, and the cold host was not paced at all.
+// Found by fuzzing: when the learned rate of warm hosts had decayed to almost 0, the computed gap
+// between requests became negative, and a cold host was not paced at all.
 func TestColdHostIsPacedAfterALongIdleTime(t *testing.T) {
 	g := start(t, testSettings(), Host{ID: 1})
 	g.serve(20, 0, func(HostID) time.Duration { return 10 * ms })
@@ -52,14 +52,14 @@
 		g.list(ListFull, Host{ID: 1}, Host{ID: 2, Started: g.now})
 		h := g.b.byID[2]
 		if rate := g.b.coldRate(h, 0); !g.b.coldHold(h) || rate <= 0 || rate > 1 {
-			t.Errorf("cold host is sent %v a second after %v, want a little", rate, idle)
+			t.Errorf("cold host gets %v requests per second after %v of idle time, want more than 0 and at most 1", rate, idle)
 		}
 		g.list(ListFull, Host{ID: 1})
 	}
 }
 
-// passau big-2: with most hosts out, the few that answered passed for the rate of
-// any host, and cold ones were sent twelve times their part.
+// When most hosts were ejected, the rate of the few that answered was taken for the rate of any
+// host, and cold hosts got twelve times their share (passau big-2).
 func TestWarmRateCountsHostsThatAreOut(t *testing.T) {
 	g := start(t, testSettings(), hosts(4)...)
 	for _, h := range g.b.hosts[1:] {
@@ -75,39 +75,40 @@
 		g.advance(10 * ms)
 	}
 	if r := g.b.warmRate(); r > 30 {
-		t.Errorf("rate of a warm host %.0f a second, with 100 a second over four hosts", r)
+		t.Errorf("rate of a warm host is %.0f per second, with 100 per second over four hosts", r)
 	}
 }
 
-// passau big-2: as a release left few warm hosts listed, all that the instance had
-// been served lately passed for the rate of those few.
+// When a release left few warm hosts on the list, all recent answers of the instance were
+// attributed to those few, so the rate of a warm host was too high (passau big-2).
 func TestWarmRateOutlivesTheListItWasLearntOn(t *testing.T) {
 	g := start(t, testSettings(), hosts(10)...)
 	g.serve(600, 0, func(HostID) time.Duration { return 10 * ms })
 	before := g.b.warmRate()
 	if before < 5 || before > 15 {
-		t.Errorf("rate of a warm host %.0f a second, with 100 a second over ten", before)
+		t.Errorf("rate of a warm host is %.0f per second, with 100 per second over ten hosts", before)
 	}
 	g.list(ListFull, hosts(1)...)
 	if r := g.b.warmRate(); r > before {
-		t.Errorf("rate %.0f once one is left, %.0f before", r, before)
+		t.Errorf("rate is %.0f with one host left, %.0f before", r, before)
 	}
 	g.list(ListFull, Host{ID: 1, Started: g.now})
 	g.now += 10 * time.Second
 	if r := g.b.warmRate(); r < before*0.9 || r > before {
-		t.Errorf("rate %.0f with no warm host left, want %.0f to stay", r, before)
+		t.Errorf("rate is %.0f with no warm host left, want it to stay at %.0f", r, before)
 	}
 }
 
-// regensburg i8a995e, passau ia19540: every instance sent a cold host one attempt
-// a Fall, whatever their number, so that large fleets pushed hosts over.
+// Every instance sent a cold host one attempt per overload window, whatever the number of
+// instances, so that large fleets overloaded cold hosts (incidents regensburg i8a995e and passau
+// ia19540).
 func TestColdBudgetHoldsOverTheFleet(t *testing.T) {
 	for _, fleet := range []int{1, 8, 60, 300} {
 		set := testSettings()
 		set.Instances = fleet
-		// Two warm hosts serve 20 a second each; the third has just started.
+		// Two warm hosts serve 20 requests per second each; the third has just started.
 		every := time.Duration(fleet) * time.Second / 40
-		var gws []*gateway
+		var gateways []*gateway
 		sends := []Time{}
 		for i := range fleet {
 			set.Rank = i
@@ -121,11 +122,11 @@
 			g.list(ListChanges, cold)
 			g.b.byID[3].limit = 1e4
 			g.now += every * time.Duration(i) / time.Duration(fleet)
-			gws = append(gws, g)
+			gateways = append(gateways, g)
 		}
 		begin := time.Hour
 		for round := 0; time.Duration(round)*every < 8*time.Second; round++ {
-			for _, g := range gws {
+			for _, g := range gateways {
 				id := g.request(0, time.Second)
 				for _, a := range g.acts {
 					if a.Kind == Send && a.Host == 3 {
@@ -138,7 +139,7 @@
 		}
 		slices.Sort(sends)
 		if len(sends) < 5 {
-			t.Errorf("fleet of %d: only %d sends to a cold host in 8 s", fleet, len(sends))
+			t.Errorf("fleet of %d: only %d requests to a cold host in 8 s", fleet, len(sends))
 		}
 		for i := range sends {
 			n := 0
@@ -148,19 +149,19 @@
 				}
 			}
 			age := sends[i].Seconds() / set.WarmAfter.Seconds()
-			if most := 20 * set.OverloadFactor * (set.ColdFrom + (1-set.ColdFrom)*age); float64(n) > most {
-				t.Fatalf("fleet of %d: %d sends in a Fall at %v, budget %.0f", fleet, n, sends[i], most)
+			if budget := 20 * set.OverloadFactor * (set.ColdFrom + (1-set.ColdFrom)*age); float64(n) > budget {
+				t.Fatalf("fleet of %d: %d requests in an overload window at %v, budget %.0f", fleet, n, sends[i], budget)
 			}
 		}
 	}
 }
 
-// Credit that nobody used while there was no traffic is spent in the first moment of a burst: all
-// instances together stay under N + 2 root N + 2 there as well, N being what the settings allow a
-// host by then, however much that is, with even traffic and where few have most of it.
+// Credit that stays unused while there is no traffic is spent at the start of a burst. Even then all
+// instances together stay at or below N + 2*sqrt(N) + 2 requests, where N is the number that the
+// settings allow a host by then, for any N.
 func TestColdBudgetHoldsInABurst(t *testing.T) {
 	for _, fleet := range []int{2, 30, 300} {
-		for _, rate := range []float64{20, 400, 4000} { // that a warm host bears
+		for _, rate := range []float64{20, 400, 4000} { // requests per second that a warm host sustains
 			for _, idle := range []time.Duration{0, time.Second, 3 * time.Second} {
 				burst(t, fleet, rate, idle)
 			}
@@ -168,6 +169,7 @@
 	}
 }
 
+// burst checks that bound for a burst that all instances see after an idle time.
 func burst(t *testing.T, fleet int, rate float64, idle time.Duration) {
 	t.Helper()
 	set := testSettings()
@@ -183,33 +185,33 @@
 		g.list(ListChanges, cold)
 		h := g.b.byID[3]
 		h.sharers = float64(fleet)
-		held := func(now Time) bool {
+		isHeld := func(now Time) bool {
 			g.b.now, g.b.served, g.b.servedAt = now, rate, now
 			return g.b.coldHold(h)
 		}
 		begin := g.now
-		for now := begin; now < begin+idle; now += 50 * ms { // as with requests that go elsewhere
-			held(now)
+		for now := begin; now < begin+idle; now += 50 * ms { // as if requests went to other hosts
+			isHeld(now)
 		}
-		for now := begin + idle; now < begin+idle+set.OverloadWindow; now += 5 * ms { // as much traffic as there may be
-			for !held(now) {
+		for now := begin + idle; now < begin+idle+set.OverloadWindow; now += 5 * ms { // as much traffic as the credit permits
+			for !isHeld(now) {
 				h.credit = min(h.credit-1, 1)
 				sends++
 			}
 		}
 	}
-	age := float64(idle+set.OverloadWindow/2) / float64(set.WarmAfter) // in the mean of the window
+	age := float64(idle+set.OverloadWindow/2) / float64(set.WarmAfter) // mean over the window
 	allowed := rate * set.OverloadFactor * (set.ColdFrom + (1-set.ColdFrom)*age) * set.OverloadWindow.Seconds()
-	if most := allowed + 2*math.Sqrt(allowed) + 2; float64(sends) > most {
-		t.Errorf("%d instances, %.0f a second, a burst %v behind the start: %d sends in a Fall, %.0f make it fall", fleet, rate, idle, sends, most)
+	if limit := allowed + 2*math.Sqrt(allowed) + 2; float64(sends) > limit {
+		t.Errorf("%d instances, %.0f per second, a burst %v after the start: %d requests in an overload window, want at most %.0f", fleet, rate, idle, sends, limit)
 	}
 	if sends == 0 {
-		t.Errorf("%d instances, %.0f a second: nothing is sent", fleet, rate)
+		t.Errorf("%d instances, %.0f per second: no request is sent", fleet, rate)
 	}
 }
 
-// Altered sites: a lone host that came back cold got one request a Fall, as no
-// other host was there to learn from.
+// When the only host restarted, it got one request per overload window, because no other host
+// existed to learn the rate of a warm host from.
 func TestLoneColdHostUsesWhatWasLearnt(t *testing.T) {
 	g := start(t, testSettings(), hosts(1)...)
 	g.serve(300, 0, func(HostID) time.Duration { return 10 * ms })
@@ -228,15 +230,14 @@
 			}
 		}
 	}
-	// A warm host took 100 a second; the budget is 2.5 x 0.3 of that at the start, and what
-	// is kept for chance stays unused.
+	// A warm host served 100 per second. The budget is 2.5 x 0.3 of that at the start, and the
+	// reserve for random variation stays unused.
 	if sends < 10 || sends > 60 {
-		t.Errorf("%d sends in the first second", sends)
+		t.Errorf("%d requests sent in the first second, want 10 to 60", sends)
 	}
 }
 
-// Found by fuzzing: a cold host that left the list and came back had its pacing
-// forgotten.
+// Found by fuzzing: the pacing of a cold host was lost when the host left the list and returned.
 func TestColdPacingOutlivesAFlappingList(t *testing.T) {
 	list := hosts(1)
 	list[0].Started = time.Hour - time.Second
@@ -252,24 +253,24 @@
 	}
 }
 
-// A release that killed most of 80 instances: each began at a rate of nothing, and for
-// seconds cold hosts got a twentieth of what they could do.
+// After a release that stopped most of 80 instances, each new one began with a rate of 0, and for seconds
+// cold hosts got a twentieth of what they could serve.
 func TestWarmRateIsKnownSoonAfterTheStart(t *testing.T) {
 	for _, fleet := range []int{2, 20, 80, 200} {
 		set := testSettings()
 		set.Instances = fleet
 		g := start(t, set, hosts(10)...)
 		g.b.admit = 1
-		g.serve(100, 0, func(HostID) time.Duration { return 10 * ms }) // a second of 100
+		g.serve(100, 0, func(HostID) time.Duration { return 10 * ms }) // one second at 100 per second
 		want := 100 * float64(fleet) / 10
 		if r := g.b.warmRate(); r < want*0.7 || r > want*1.3 {
-			t.Errorf("rate of a warm host %.0f a second with %d instances, want about %.0f", r, fleet, want)
+			t.Errorf("rate of a warm host is %.0f per second with %d instances, want about %.0f", r, fleet, want)
 		}
 	}
 }
 
-// obb-like deploy days: with most hosts cold, instances walked past a cold host far
-// more often than they counted.
+// When most hosts were cold during a release, instances considered a cold host as a candidate far
+// more often than the number of its sharers assumed.
 func TestFarColdHostsAreLeftToTheirSharers(t *testing.T) {
 	set := testSettings()
 	set.Instances = 240
@@ -283,18 +284,18 @@
 	}
 	g.b.pick(&request{class: &g.b.set.Classes[0]})
 	if n := len(g.b.ready); n > subsetLeast {
-		t.Errorf("draws from %d cold hosts, want at most %d", n, subsetLeast)
+		t.Errorf("selects from %d cold hosts, want at most %d", n, subsetLeast)
 	}
 	if got, want := g.b.hosts[0].sharers, 240.0*subsetLeast/40; got < want-0.1 || got > want+0.1 {
-		t.Errorf("a cold host counts %v sharers, want %v", got, want)
+		t.Errorf("a cold host has %v sharers, want %v", got, want)
 	}
 }
 
-// A host's start is told by a clock that may be off, by seconds or by an hour, either way. A host that a
-// change of the list tells of first is paced all the same, never faster than one that starts now, and is
-// warm in the end.
+// The start time of a host comes from a clock that may be wrong by seconds or by an hour, in either
+// direction. A host that a change of the list reports as started is paced all the same, never faster
+// than one that starts now, and it becomes warm in the end.
 func TestClockThatIsOffPacesAColdHost(t *testing.T) {
-	begins := func(off time.Duration) (g *gateway, rate float64) {
+	startWithError := func(off time.Duration) (g *gateway, rate float64) {
 		g = start(t, testSettings(), hosts(3)...)
 		g.serve(600, 0, func(HostID) time.Duration { return 10 * ms })
 		h := hosts(3)[2]
@@ -302,19 +303,19 @@
 		g.list(ListChanges, h)
 		k := g.b.byID[3]
 		if !g.b.coldHold(k) && k.credit < 1 || !k.cold || math.IsNaN(k.credit) {
-			t.Errorf("off by %v: it is not paced: cold %v, credit %v", off, k.cold, k.credit)
+			t.Errorf("clock off by %v: the host is not paced: cold %v, credit %v", off, k.cold, k.credit)
 		}
 		return g, g.b.coldRate(k, max(0, g.now-k.coldAt))
 	}
-	_, right := begins(0)
+	_, expected := startWithError(0)
 	for _, off := range []time.Duration{time.Hour, -time.Hour, 2 * time.Second} {
-		g, rate := begins(off)
-		if !(rate > 0 && rate <= right*1.01) {
-			t.Errorf("off by %v: paced at %v a second, right were %v", off, rate, right)
+		g, rate := startWithError(off)
+		if !(rate > 0 && rate <= expected*1.01) {
+			t.Errorf("clock off by %v: paced at %v per second, want at most %v", off, rate, expected)
 		}
 		g.serve(2000, 0, func(HostID) time.Duration { return 10 * ms }) // 20 s
 		if k := g.b.byID[3]; g.b.coldHold(k) || k.cold {
-			t.Errorf("off by %v: it is cold for ever", off)
+			t.Errorf("clock off by %v: the host stays cold", off)
 		}
 	}
 }
--- a/eject_test.go
+++ b/eject_test.go
@@ -16,7 +16,7 @@
 	fail()
 	first := g.b.hosts[0].ejectUntil - g.now
 	if got := g.serve(100, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
-		t.Fatalf("%d sends to the ejected host", got[1])
+		t.Fatalf("%d requests to the ejected host", got[1])
 	}
 	g.now = g.b.hosts[0].ejectUntil
 	fail()
@@ -24,24 +24,25 @@
 		t.Errorf("back-off %v after %v, want it to grow", second, first)
 	}
 	g.now = g.b.hosts[0].ejectUntil
-	trial := g.requestTo(1, ms)
+	probe := g.requestTo(1, ms)
 	for range 20 {
 		id := g.request(0, time.Second)
 		if g.onlyAction(Send).Host == 1 {
-			t.Fatal("second request while the trial is out")
+			t.Fatal("second request while the probe is in flight")
 		}
 		g.outcome(id, 0, OK, ms)
 	}
-	g.outcome(trial, 0, OK, ms)
+	g.outcome(probe, 0, OK, ms)
 	if h := g.b.hosts[0]; h.fails != 0 {
-		t.Error("still ejected after the trial's answer")
+		t.Error("still ejected after the answer to the probe")
 	}
 }
 
-// Connections that fail for a moment at all hosts, as where this machine has no route for so long, cost little more
-// than that moment; and few are tried, however long it is.
+// When connections to all hosts fail for a while, for example because this machine has no route,
+// requests fail for little longer than that, and few connections are attempted, however long it
+// lasts.
 func TestMomentOfFailedConnectionsIsShort(t *testing.T) {
-	for _, moment := range []time.Duration{5 * ms, 50 * ms, 500 * ms, 5 * time.Second} {
+	for _, outage := range []time.Duration{5 * ms, 50 * ms, 500 * ms, 5 * time.Second} {
 		g := start(t, testSettings(), hosts(4)...)
 		begun, tries, served := g.now, 0, time.Duration(-1)
 		attempts := map[RequestID]int{}
@@ -51,7 +52,7 @@
 				sends = sends[1:]
 				tries++
 				attempts[id]++
-				if g.now-begun >= moment {
+				if g.now-begun >= outage {
 					served = g.now - begun
 					return
 				}
@@ -67,16 +68,17 @@
 			}
 		}
 		first := time.Duration(retryAims * float64(g.b.aim))
-		if served < 0 || served > 3*moment+2*first {
-			t.Errorf("connections failed for %v, and the first was tried behind it after %v", moment, served)
+		if served < 0 || served > 3*outage+2*first {
+			t.Errorf("connections failed for %v, and the first attempt after that came at %v", outage, served)
 		}
-		rounds := 2 + math.Log2(1+float64(moment)/float64(first)) // each ejection is twice as long as the last
-		if most := int(4 * (rounds + 1)); tries > most {
-			t.Errorf("connections failed for %v, and %d were tried, %d at most are expected", moment, tries, most)
+		rounds := 2 + math.Log2(1+float64(outage)/float64(first)) // each ejection is twice as long as the last
+		if limit := int(4 * (rounds + 1)); tries > limit {
+			t.Errorf("connections failed for %v, and %d were attempted, want at most %d", outage, tries, limit)
 		}
 	}
 }
 
+// sendsOf returns the Send actions.
 func sendsOf(acts []Action) (sends []Action) {
 	for _, a := range acts {
 		if a.Kind == Send {
@@ -86,8 +88,8 @@
 	return sends
 }
 
-// passau rough-1: a host that fails most requests within milliseconds was readmitted
-// by its own errors, and each cost a request that must not be repeated.
+// A host that fails most requests within milliseconds was put back into use because of its own
+// errors, and each of them cost a request that must not run twice (passau rough-1).
 func TestErrorsEject(t *testing.T) {
 	g := start(t, testSettings(), hosts(4)...)
 	id := g.requestTo(1, ms)
@@ -100,37 +102,37 @@
 	g.outcome(id, 0, Failed, ms)
 	g.outcome(id, 1, OK, ms)
 	if got := g.serve(40, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
-		t.Errorf("%d sends to a host that has just failed", got[1])
+		t.Errorf("%d requests to a host that has just failed", got[1])
 	}
 	g.now = g.b.hosts[0].ejectUntil
-	for range 40 { // the trial is for one that may be sent again
+	for range 40 { // the probe must be a request that may be retried
 		id := g.request(2, time.Second)
 		if g.onlyAction(Send).Host == 1 {
-			t.Fatal("an unsafe request is the trial")
+			t.Fatal("an unsafe request is used as the probe")
 		}
 		g.outcome(id, 0, OK, ms)
 	}
 	unsafe := &request{class: &g.b.set.Classes[2]}
 	if h := g.b.hosts[0]; !g.b.ejected(unsafe, h) || g.b.ejected(&request{class: &g.b.set.Classes[0]}, h) {
-		t.Error("want the trial kept for a safe request first")
+		t.Error("want the probe reserved for a safe request at first")
 	}
 	g.b.now += trialAims * g.b.aim
 	if g.b.ejected(unsafe, g.b.hosts[0]) {
-		t.Error("no trial at all where no safe request comes")
+		t.Error("no probe at all when no safe request arrives")
 	}
 }
 
-// serra rough-2: a host that takes requests and answers none kept its old
-// estimate until the deadlines.
+// A host that accepted requests and answered none kept its old estimate until the deadlines passed
+// (serra rough-2).
 func TestSilentHostIsEjectedAndComesBack(t *testing.T) {
 	g := start(t, testSettings(), hosts(3)...)
 	g.serve(60, 0, func(HostID) time.Duration { return 10 * ms })
-	held := g.requestTo(1, 10*ms)
+	unanswered := g.requestTo(1, 10*ms)
 	g.advance(200 * ms)
 	if got := g.serve(50, 0, func(HostID) time.Duration { return ms }); got[1] != 0 {
-		t.Fatalf("%d sends to the silent host", got[1])
+		t.Fatalf("%d requests to the silent host", got[1])
 	}
-	g.outcome(held, 0, OK, 250*ms) // it only paused
+	g.outcome(unanswered, 0, OK, 250*ms) // it was only paused
 	if h := g.b.hosts[0]; h.fails != 0 {
 		t.Error("still ejected after its answer")
 	}
@@ -140,7 +142,7 @@
 	}
 }
 
-// A host with one costly request that answers others is not silent.
+// A host that answers other requests while one costly request is in flight is not silent.
 func TestHostThatAnswersOthersIsNotSilent(t *testing.T) {
 	g := start(t, testSettings(), hosts(1)...)
 	g.b.hosts[0].limit = 10
@@ -152,7 +154,7 @@
 		g.outcome(id, 0, OK, 10*ms)
 	}
 	if g.b.hosts[0].fails != 0 {
-		t.Error("ejected")
+		t.Error("a host that answers other requests is ejected")
 	}
 }
 
@@ -163,41 +165,41 @@
 	}
 	got := g.serve(60, 0, func(HostID) time.Duration { return ms })
 	if len(got) < 2 {
-		t.Errorf("sends %v, want the ejected hosts used too", got)
+		t.Errorf("requests by host %v, want the ejected hosts used too", got)
 	}
 }
 
-// passau big-2: during a release most hosts of a subset were gone before the list told,
-// and failing open sent each request to them six times.
+// During a release most hosts of a subset were gone before the list reported it, and because the
+// balancer failed open it sent each request to them six times (passau big-2).
 func TestHostsThatTakeNoConnectionDoNotFailOpen(t *testing.T) {
 	g := start(t, testSettings(), hosts(4)...)
 	for _, h := range g.b.hosts[:3] {
 		b := g.b
 		id := g.requestTo(h.ID, ms)
-		for n := 0; len(g.acts) == 0 || b.hosts[3].ID != g.acts[0].Host; n++ { // until it lands on the last
+		for n := 0; len(g.acts) == 0 || b.hosts[3].ID != g.acts[0].Host; n++ { // until it is sent to the last host
 			if g.outcome(id, n, ConnectFailed, ms); n > 3 {
-				t.Fatal("never sent to the one host that takes connections")
+				t.Fatal("never sent to the one host that accepts connections")
 			}
 		}
 		g.b.Gone(g.now, id)
 		g.drain()
 	}
-	trials := 0
+	probes := 0
 	for range 40 {
 		id := g.request(0, time.Second)
 		n := 0
 		for sends := sendsOf(g.acts); sends[0].Host != 4; sends = sendsOf(g.acts) {
 			if h := g.b.byID[sends[0].Host]; g.now < h.ejectUntil {
-				t.Errorf("sent to host %d, which is out for %v", h.ID, h.ejectUntil-g.now)
+				t.Errorf("sent to host %d, which is ejected for another %v", h.ID, h.ejectUntil-g.now)
 			}
-			trials++
+			probes++
 			g.outcome(id, n, ConnectFailed, 0)
 			n++
 		}
 		g.advance(ms)
 		g.outcome(id, n, OK, ms)
 	}
-	if trials > 0 { // their ejections outlast the requests
-		t.Errorf("%d sends to hosts that take no connection", trials)
+	if probes > 0 { // the ejections last longer than the requests
+		t.Errorf("%d requests to hosts that accept no connection", probes)
 	}
 }
--- a/repeats_test.go
+++ b/repeats_test.go
@@ -7,18 +7,18 @@
 )
 
 func TestWhatFollowsAnAttempt(t *testing.T) {
-	again := []ActionKind{Send}
+	retry := []ActionKind{Send}
 	tests := []struct {
 		class  int
 		result Result
 		want   []ActionKind
 	}{
 		{0, OK, nil},
-		{0, Failed, again}, {0, TimedOut, again}, {0, Reset, again}, {0, Full, again}, {0, ConnectFailed, again},
-		{1, Failed, again}, {1, ConnectFailed, again},
+		{0, Failed, retry}, {0, TimedOut, retry}, {0, Reset, retry}, {0, Full, retry}, {0, ConnectFailed, retry},
+		{1, Failed, retry}, {1, ConnectFailed, retry},
 		{2, Failed, []ActionKind{Fail}}, {2, TimedOut, []ActionKind{Fail}}, {2, Reset, []ActionKind{Fail}},
 		{2, Canceled, []ActionKind{Fail}},
-		{2, Full, again}, {2, ConnectFailed, again}, {2, NotSent, again},
+		{2, Full, retry}, {2, ConnectFailed, retry}, {2, NotSent, retry},
 	}
 	for _, tt := range tests {
 		g := start(t, testSettings(), hosts(2)...)
@@ -45,18 +45,18 @@
 		set.Classes[1].Group = group
 		list := []Host{{ID: 1, Zone: 0, Cell: 0}, {ID: 2, Zone: 0, Cell: 1}, {ID: 3, Zone: 1, Cell: 2},
 			{ID: 4, Zone: 0, Cell: 0}, {ID: 5, Zone: 0, Cell: 1}, {ID: 6, Zone: 1, Cell: 2}}
-		other := 0
+		round := 0
 		for range 30 {
 			g := start(t, set, list...)
-			g.b.rng += uint64(other)*977 + 1
+			g.b.rng += uint64(round)*977 + 1
 			id := g.request(1, time.Second)
 			first := list[g.onlyAction(Send).Host-1]
 			g.outcome(id, 0, Failed, ms)
 			second := list[g.onlyAction(Send).Host-1]
 			if !same(first, second) {
-				t.Fatalf("group %d: sent to %+v, then to %+v", group, first, second)
+				t.Fatalf("group %d: sent to %+v, then to %+v, which is not in the same group", group, first, second)
 			}
-			other++
+			round++
 		}
 	}
 }
@@ -99,7 +99,8 @@
 	g.onlyAction(Refuse)
 }
 
-// A keyed request that may have run is refused only while hosts drop what its client sends again.
+// A keyed request that may have run is refused only as long as the hosts would deduplicate a retry by
+// the client.
 func TestKeyedIsRefusedWithinItsWindow(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration // from the first attempt to the answer
@@ -120,7 +121,7 @@
 	id := g.request(0, 500*ms)
 	g.b.Started(g.now, id, 0)
 	if done := g.advance(2 * time.Second); len(done) != 0 {
-		t.Errorf("done %v past the deadline of a stream that has begun", done)
+		t.Errorf("actions %v past the deadline of a request whose stream has begun", done)
 	}
 	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Closed: true})
 	g.drain()
