--- a/balancer_test.go
+++ b/balancer_test.go
@@ -24,7 +24,7 @@
 		{"below the old peak but above it decayed replaces it", 100 * time.Second, 0.02, 0.02},
 	}
 	for _, s := range steps {
-		g.b.gap.mean = 0 // samples come often
+		g.b.gap.mean = 0 // as if samples arrived often
 		g.b.now += s.after
 		g.b.sample(h, s.rtt)
 		if math.Abs(h.rtt-s.want) > 1e-12 {
@@ -34,15 +34,15 @@
 	g.b.gap.mean = 0
 	g.b.now += Time(tau * 1e9)
 	if got, want := g.b.estimate(h), 0.02/math.E; math.Abs(got-want) > 1e-9 {
-		t.Errorf("read one decay later: %v, want %v", got, want)
+		t.Errorf("estimate one decay time later: %v, want %v", got, want)
 	}
 	if h.rtt != 0.02 {
-		t.Errorf("reading changed the estimate to %v", h.rtt)
+		t.Errorf("reading the estimate changed the stored RTT to %v", h.rtt)
 	}
 }
 
-// Full-size days: samples of a host lay seconds apart, a decay of a few aims left
-// nothing of one by the next.
+// In large fleets the samples of a host are seconds apart. A decay time of a few aims left nothing of
+// one sample by the time of the next.
 func TestDecayOutlastsTheGapBetweenSamples(t *testing.T) {
 	g := start(t, testSettings(), hosts(1)...)
 	h := g.b.hosts[0]
@@ -52,23 +52,23 @@
 	}
 	g.b.now += 5 * time.Second
 	if got := g.b.estimate(h); got < 0.15 {
-		t.Errorf("estimate %v a gap of 5 s after samples of 0.2", got)
+		t.Errorf("estimate %v 5 s after the last of many samples of 0.2, want at least 0.15", got)
 	}
 }
 
-// A host without samples is rated as its kind is, and drifts into use all the same.
+// A host without samples starts with the estimate of its kind, which decays, so that it is tried.
 func TestUnknownHostIsSeededByItsKind(t *testing.T) {
 	g := start(t, testSettings(), Host{ID: 1, Kind: 1}, Host{ID: 2, Kind: 2})
 	took := func(h HostID) time.Duration { return time.Duration(h) * 40 * ms }
-	g.serve(600, 0, took) // the slow one is asked now and then, once it is known to be
+	g.serve(600, 0, took) // the slow host still gets some requests once it is known as slow
 	g.list(ListChanges, Host{ID: 3, Kind: 1}, Host{ID: 4, Kind: 2})
 	fast, slow := g.b.estimate(g.b.byID[3]), g.b.estimate(g.b.byID[4])
 	if fast < 0.03 || slow < 1.5*fast {
-		t.Errorf("seeds %v and %v, with kinds at 0.04 and 0.08", fast, slow)
+		t.Errorf("initial estimates %v and %v, with kinds at 0.04 and 0.08", fast, slow)
 	}
 	g.b.now += 5 * time.Minute
 	if got := g.b.estimate(g.b.byID[4]); got > slow/2 {
-		t.Errorf("seed still %v after five minutes", got)
+		t.Errorf("initial estimate is still %v after five minutes", got)
 	}
 }
 
@@ -76,7 +76,7 @@
 	tests := []struct {
 		result Result
 		took   time.Duration
-		want   float64 // -1: the seed stays
+		want   float64 // -1: no sample is taken
 	}{
 		{OK, 300 * ms, 0.3},
 		{Failed, 2 * ms, 0.4}, // the base penalty: one aim
@@ -91,9 +91,9 @@
 	for _, tt := range tests {
 		g := start(t, testSettings(), hosts(1)...)
 		h := g.b.hosts[0]
-		seed := 0.0 // none
+		noSample := 0.0
 		if tt.want < 0 {
-			tt.want = seed
+			tt.want = noSample
 		}
 		id := g.request(0, time.Second)
 		g.outcome(id, 0, tt.result, tt.took)
@@ -127,8 +127,8 @@
 	}
 }
 
-// Of many hosts only the two drawn are compared: the second best is drawn
-// without the best often enough to get a share, the worst never wins.
+// Of many hosts only two random candidates are compared: the second best is drawn without the best
+// often enough to get a share, and the worst never wins.
 func TestTwoAreDrawn(t *testing.T) {
 	g := start(t, testSettings(), hosts(4)...)
 	for i, h := range g.b.hosts {
@@ -145,16 +145,16 @@
 	}
 }
 
-// Near hosts are used while they are no slower than remote ones by more than crossing
-// costs; a near zone that is slow, full or lost takes none down with it.
+// Near hosts are preferred as long as they are not slower than remote ones by more than CrossPrice.
+// When the near zone is slow or lost, requests go to the others.
 func TestNearIsPreferredWhileItHasRoom(t *testing.T) {
 	set := testSettings()
 	set.Instances, set.Zones, set.PreferNear, set.CrossPrice = 4, 2, true, 0.05 // 20 ms
 	list := []Host{}
-	for i := range 12 { // two near ones
+	for i := range 12 { // hosts 1 and 2 are near
 		list = append(list, Host{ID: HostID(i + 1), Zone: min(i/2, 1)})
 	}
-	near := func(g *gateway, rtt Time) float64 {
+	nearShare := func(g *gateway, rtt Time) float64 {
 		got := g.serve(400, 0, func(h HostID) time.Duration {
 			if h <= 2 {
 				return rtt
@@ -164,23 +164,23 @@
 		return float64(got[1]+got[2]) / 400
 	}
 	g := start(t, set, list...)
-	if part := near(g, 10*ms); part < 0.9 {
-		t.Errorf("near and as fast: %.2f of the requests", part)
+	if share := nearShare(g, 10*ms); share < 0.9 {
+		t.Errorf("near and as fast as the others: near hosts got %.2f of the requests", share)
 	}
-	if part := near(g, 25*ms); part < 0.9 {
-		t.Errorf("slower by less than crossing costs: %.2f of the requests", part)
+	if share := nearShare(g, 25*ms); share < 0.9 {
+		t.Errorf("slower by less than CrossPrice: near hosts got %.2f of the requests", share)
 	}
-	near(g, 60*ms) // learns
-	if part := near(g, 60*ms); part > 0.2 {
-		t.Errorf("much slower: %.2f of the requests", part)
+	nearShare(g, 60*ms) // the balancer learns the new RTT
+	if share := nearShare(g, 60*ms); share > 0.2 {
+		t.Errorf("much slower: near hosts got %.2f of the requests", share)
 	}
 	g.list(ListFull, list[2:]...)
-	if part := near(g, 10*ms); part != 0 {
-		t.Errorf("lost: %.2f of the requests", part)
+	if share := nearShare(g, 10*ms); share != 0 {
+		t.Errorf("removed from the list: near hosts got %.2f of the requests", share)
 	}
 	set.PreferNear = false
-	if part := near(start(t, set, list...), 10*ms); part > 0.5 {
-		t.Errorf("without the preference: %.2f of the requests", part)
+	if share := nearShare(start(t, set, list...), 10*ms); share > 0.5 {
+		t.Errorf("without PreferNear: near hosts got %.2f of the requests", share)
 	}
 }
 
@@ -193,7 +193,7 @@
 		return 20 * ms
 	})
 	if got[3] > 60 || got[1] < 60 || got[2] < 60 {
-		t.Errorf("shares %v, want host 3 under a fifth", got)
+		t.Errorf("requests by host %v, want at most a fifth for host 3", got)
 	}
 }
 
@@ -205,7 +205,7 @@
 	}
 	done := g.advance(time.Second)
 	if len(done) != 1 || done[0].Kind != Refuse || done[0].Request != id {
-		t.Errorf("done %v, want one refusal", done)
+		t.Errorf("actions %v, want one refusal", done)
 	}
 }
 
@@ -214,12 +214,12 @@
 	id := g.request(2, time.Second)
 	g.list(ListFull, hosts(1)...)
 	if a := g.onlyAction(Send); a.Request != id || a.Host != 1 {
-		t.Errorf("sent %v", a)
+		t.Errorf("action %v is not the waiting request sent to host 1", a)
 	}
 }
 
-// zurich incident ie27dba: a request that comes with no time left was taken to
-// have all of it.
+// A request that arrived with no time left was treated as if it had its whole deadline (incident
+// zurich ie27dba).
 func TestNoTimeLeftIsAnsweredAtOnce(t *testing.T) {
 	g := start(t, testSettings(), hosts(2)...)
 	for class := range g.b.set.Classes {
@@ -236,7 +236,7 @@
 		g.onlyAction(Send)
 		done := g.advance(500*ms - g.b.set.Step)
 		if len(done) != 2 || done[0].Kind != want || done[1].Kind != Cancel {
-			t.Errorf("class %d: done %v, want kind %d and a cancel", class, done, want)
+			t.Errorf("class %d: actions %v, want kind %d and a cancel", class, done, want)
 		}
 	}
 }
@@ -246,17 +246,17 @@
 		g := start(t, testSettings(), hosts(3)...)
 		g.list(ListChanges, Host{ID: 2, State: state})
 		if got := g.serve(50, 0, func(HostID) time.Duration { return ms }); got[2] != 0 {
-			t.Errorf("state %d: %d sends", state, got[2])
+			t.Errorf("state %d: %d requests sent to the host", state, got[2])
 		}
 	}
 	g := start(t, testSettings(), hosts(3)...)
-	g.list(ListFull, hosts(2)...) // what is not on the whole list is gone
+	g.list(ListFull, hosts(2)...) // a host that is missing from a full list is gone
 	if got := g.serve(50, 0, func(HostID) time.Duration { return ms }); got[3] != 0 {
-		t.Errorf("dropped host: %d sends", got[3])
+		t.Errorf("%d requests sent to a host that is missing from the full list", got[3])
 	}
 	g.list(ListFailed)
 	if len(g.b.hosts) != 2 {
-		t.Errorf("%d hosts after a failed question, want the old list", len(g.b.hosts))
+		t.Errorf("%d hosts after a failed request for the list, want the old list", len(g.b.hosts))
 	}
 }
 
@@ -265,11 +265,11 @@
 	id := g.request(0, time.Second)
 	g.list(ListChanges, Host{ID: 1, State: Removed})
 	if len(g.b.hosts) != 1 {
-		t.Fatal("forgotten with an attempt in flight")
+		t.Fatal("host removed with an attempt in flight")
 	}
 	g.outcome(id, 0, OK, ms)
 	if len(g.b.hosts) != 0 || len(g.b.byID) != 0 || len(g.b.reqs) != 0 {
-		t.Error("host or request kept")
+		t.Error("a host or request is still stored")
 	}
 }
 
@@ -283,7 +283,7 @@
 	g.b.Started(g.now, id+99, 0)
 	g.b.Started(g.now, id, 9)
 	g.b.Timer(g.now, math.MaxUint64)
-	g.b.Request(g.now, Request{ID: id, Left: time.Second}) // repeated
+	g.b.Request(g.now, Request{ID: id, Left: time.Second}) // a duplicate
 	g.b.Request(g.now, Request{ID: 500, Class: 9})
 	g.b.Request(g.now, Request{ID: 501, Class: -1})
 	g.drain()
@@ -295,7 +295,7 @@
 	g.b.Gone(g.now, id)
 	g.drain()
 	if len(g.acts) != 0 || len(g.b.reqs) != 0 || g.b.hosts[0].pending+g.b.hosts[1].pending != 0 {
-		t.Errorf("actions %v, state kept", g.acts)
+		t.Errorf("actions %v, or state of the request is still stored", g.acts)
 	}
 }
 
@@ -307,7 +307,7 @@
 	g.onlyAction(Cancel)
 	g.outcome(id, 0, Canceled, ms)
 	if len(g.b.reqs) != 0 {
-		t.Error("request kept")
+		t.Error("the request is still stored")
 	}
 }
 
@@ -325,7 +325,7 @@
 		return fmt.Sprint(all)
 	}
 	if first, second := run(), run(); first != second {
-		t.Error("two runs differ")
+		t.Error("two runs with the same events differ")
 	}
 }
 
@@ -346,7 +346,7 @@
 		round()
 	}
 	if n := testing.AllocsPerRun(1000, round); n != 0 {
-		t.Errorf("%v allocations a request", n)
+		t.Errorf("%v allocations per request", n)
 	}
 }
 
@@ -362,26 +362,26 @@
 	}
 }
 
-// A body that drips, either way, is no slowness of its host's: the estimate, the limit and the
-// watch for silent hosts see the host's own time alone.
+// A body that is sent or received slowly does not count as slowness of the host: the estimate, the
+// in-flight limit and the detection of silent hosts are based on the host's own time alone.
 func TestBodiesOnTheirWayAreNoSlowness(t *testing.T) {
 	g := start(t, testSettings(), hosts(1)...)
 	id := g.request(0, 500*ms)
 	g.b.Feeding(g.now, id, 0)
 	h := g.b.hosts[0]
 	if h.pending != 0 || h.streams != 1 || h.flight.head != nil {
-		t.Errorf("fed: %d attempts and %d streams at the host", h.pending, h.streams)
+		t.Errorf("while the request body arrives: %d attempts and %d streams at the host", h.pending, h.streams)
 	}
 	if done := g.advance(time.Minute); len(done) != 0 {
-		t.Errorf("while the client sends: %v", done)
+		t.Errorf("actions while the client sends: %v", done)
 	}
 	if h.ejectUntil > g.now {
-		t.Error("the host counts as silent")
+		t.Error("the host is ejected as silent")
 	}
 	g.b.Fed(g.now, id, 0)
 	g.advance(10 * ms)
 	if h.pending != 1 || h.streams != 0 {
-		t.Errorf("sent: %d attempts and %d streams at the host", h.pending, h.streams)
+		t.Errorf("after the request body was sent: %d attempts and %d streams at the host", h.pending, h.streams)
 	}
 	g.b.Flowing(g.now, id, 0, OK, 10*ms)
 	if h.rtt > 0.1 || h.fresh {
@@ -390,7 +390,7 @@
 	before := h.rtt
 	g.advance(time.Hour)
 	if h.pending != 0 || h.streams != 1 || h.ejectUntil > g.now {
-		t.Errorf("flows: %d attempts and %d streams", h.pending, h.streams)
+		t.Errorf("while the response body streams: %d attempts and %d streams, or the host is ejected", h.pending, h.streams)
 	}
 	g.b.Outcome(g.now, Outcome{Request: id, Result: OK, Elapsed: time.Hour, Closed: true})
 	g.drain()
@@ -399,8 +399,8 @@
 	}
 }
 
-// The time of a request whose body comes counts from its last byte, for it and for what
-// follows an attempt that fails before.
+// The deadline of a request whose body still arrives counts from the last byte of the body. When an
+// attempt fails before that, the request is retried.
 func TestTimeCountsFromTheLastByte(t *testing.T) {
 	g := start(t, testSettings(), hosts(2)...)
 	id := g.request(0, 500*ms)
@@ -409,22 +409,23 @@
 	g.b.Fed(g.now, id, 0)
 	g.drain()
 	if done := g.advance(400 * ms); len(done) != 0 {
-		t.Errorf("within its time: %v", done)
+		t.Errorf("actions before the deadline: %v", done)
 	}
 	done := g.advance(200 * ms)
 	if !slices.ContainsFunc(done, func(a Action) bool { return a.Kind == Refuse }) {
-		t.Errorf("past it: %v", done)
+		t.Errorf("no refusal after the deadline: %v", done)
 	}
 	id = g.request(0, 500*ms)
 	g.b.Feeding(g.now, id, 0)
 	g.advance(10 * time.Second)
 	g.outcome(id, 0, ConnectFailed, ms)
-	if again := g.onlyAction(Send); again.Request != id {
-		t.Errorf("after a failure while the body came: %v", again)
+	if retry := g.onlyAction(Send); retry.Request != id {
+		t.Errorf("after a failure while the body arrived: %v", retry)
 	}
 }
 
-// Streams spread over hosts, take no place of others, and one that breaks off tells of its host.
+// Streams are spread over the hosts and do not count against the in-flight limit. A stream that
+// breaks ejects its host.
 func TestStreamsSpread(t *testing.T) {
 	g := start(t, testSettings(), hosts(4)...)
 	for range 400 {
@@ -437,14 +438,14 @@
 			t.Errorf("host %d of four has %d of 400 streams", h.ID, h.streams)
 		}
 		if h.pending != 0 || g.b.atLimit(h) {
-			t.Errorf("streams fill the host: %d attempts, limit %v", h.pending, h.limit)
+			t.Errorf("streams count against the in-flight limit: %d attempts, limit %v", h.pending, h.limit)
 		}
 	}
 	id := g.request(0, 500*ms)
 	g.b.Flowing(g.now, id, 0, OK, 10*ms)
-	at := g.b.reqs[id].atts[0].host
+	broken := g.b.reqs[id].atts[0].host
 	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Closed: true})
-	if at.ejectUntil <= g.now {
-		t.Error("a host whose answers break off stays in use")
+	if broken.ejectUntil <= g.now {
+		t.Error("a host whose stream broke is not ejected")
 	}
 }
--- a/load_test.go
+++ b/load_test.go
@@ -6,27 +6,27 @@
 	"time"
 )
 
-// incidents i4dd726, ib2aec1: every host held more than it could serve in time.
+// Every host had more requests in flight than it could serve in time (incidents i4dd726 and ib2aec1).
 func TestInFlightIsBoundedAndLineIsWorthFirst(t *testing.T) {
 	g := start(t, testSettings(), hosts(2)...)
-	out := map[RequestID]bool{}
+	inFlight := map[RequestID]bool{}
 	for range 30 {
 		g.request(0, time.Second)
 		for _, a := range g.acts {
-			out[a.Request] = true
+			inFlight[a.Request] = true
 		}
 	}
-	if most := 2 * limitStart; len(out) != most {
-		t.Fatalf("%d in flight at two new hosts, want %d", len(out), most)
+	if want := 2 * limitStart; len(inFlight) != want {
+		t.Fatalf("%d in flight at two new hosts, want %d", len(inFlight), want)
 	}
-	worth := g.request(2, time.Second)
-	for id := range out {
+	worthMost := g.request(2, time.Second)
+	for id := range inFlight {
 		g.now += 10 * ms
 		g.outcome(id, 0, OK, 10*ms)
 		break
 	}
-	if len(g.acts) == 0 || g.acts[0].Request != worth {
-		t.Errorf("actions %v, want the unsafe request, worth most, first", g.acts)
+	if len(g.acts) == 0 || g.acts[0].Request != worthMost {
+		t.Errorf("actions %v, want the unsafe request, which has the highest worth, first", g.acts)
 	}
 }
 
@@ -41,15 +41,16 @@
 			t.Fatalf("action %v", a)
 		}
 		if g.b.reqs[a.Request] != nil {
-			t.Error("refused request kept")
+			t.Error("the refused request is still stored")
 		}
 	}
 	if g.b.queued != 0 {
-		t.Errorf("%d still wait %v later, past their aim", g.b.queued, g.now-begin)
+		t.Errorf("%d requests still wait after %v, past their aim", g.b.queued, g.now-begin)
 	}
 }
 
-// zurich incident i836603: late requests in a line below a full one waited on.
+// Late requests in a queue below a non-empty one of higher priority kept waiting (incident zurich
+// i836603).
 func TestLateRequestsAreRefusedInEveryLine(t *testing.T) {
 	set := testSettings()
 	set.Classes[0].Deadline = 2 * time.Second
@@ -59,11 +60,11 @@
 	high := g.request(1, 2*time.Second)
 	for _, a := range g.advance(200 * ms) {
 		if a.Kind != Refuse || a.Request != low {
-			t.Errorf("action %v, want only the late request of the lower line refused", a)
+			t.Errorf("action %v, want only the late request of the lower priority refused", a)
 		}
 	}
 	if g.b.reqs[low] != nil || g.b.reqs[high] == nil {
-		t.Error("the late request waits on, or the other was refused")
+		t.Error("the late request still waits, or the other was refused")
 	}
 }
 
@@ -75,7 +76,7 @@
 		g.b.adjust(h, 0.8, g.b.now)
 	}
 	if h.limit != limitLeast {
-		t.Errorf("limit %v after slow answers, want the least", h.limit)
+		t.Errorf("limit %v after slow answers, want the minimum", h.limit)
 	}
 	g.b.now += time.Second
 	for range 20 {
@@ -96,8 +97,9 @@
 	}
 }
 
-// serra incidents i06a801, ie8003c: small cuts, one an answer, came too late to
-// keep hosts from tipping; many at once would be one too many.
+// Small cuts of the limit, one per answer, came too late to keep hosts from overload. The limit is
+// cut by more, but only once per round trip, because several large cuts at once would cut it too far
+// (incidents serra i06a801 and ie8003c).
 func TestLimitIsCutOnceARound(t *testing.T) {
 	g := start(t, testSettings(), hosts(1)...)
 	h := g.b.hosts[0]
@@ -118,8 +120,8 @@
 	}
 }
 
-// serra incident ic8b233: hosts that turned all away at once, while the others
-// were at their limits, drew all that waited.
+// While the other hosts were at their limits, hosts that refused everything immediately attracted
+// all waiting requests (incident serra ic8b233).
 func TestFullHostIsGivenLess(t *testing.T) {
 	set := testSettings()
 	set.Instances = 4
@@ -133,8 +135,8 @@
 	}
 }
 
-// regensburg big-2: 70 of 100 requests refused while hosts idled, as one long RTT
-// rested a host for seconds at every one of many instances.
+// 70 of 100 requests were refused while hosts were idle, because one long RTT stopped each of many
+// instances from using the host for seconds (regensburg big-2).
 func TestThinViewDoesNotStarveHosts(t *testing.T) {
 	set := testSettings()
 	set.Instances = 240
@@ -148,14 +150,15 @@
 	}
 }
 
-// obb overload, big-2: with no limit that holds at size, late answers crowded every
-// host. Requests are shed by worth while answers are late, and taken again after.
+// In a large fleet the in-flight limits cannot bound the load of a host, so late answers overloaded
+// every host (obb overload, big-2). Requests are therefore shed in the order of their worth while
+// answers are late, and admitted again afterwards.
 func TestLateAnswersShedTheLeastWorthFirst(t *testing.T) {
 	set := testSettings()
 	set.Instances = 40
 	g := start(t, set, hosts(20)...)
 	g.b.admit = 1
-	play := func(took time.Duration) (refused [3]int) {
+	serve := func(took time.Duration) (refused [3]int) {
 		for i := range 300 {
 			id := g.request(i%3, time.Second)
 			if a := g.acts[0]; a.Kind == Refuse {
@@ -167,22 +170,22 @@
 		}
 		return refused
 	}
-	if got := play(150 * ms); got != [3]int{} {
+	if got := serve(150 * ms); got != [3]int{} {
 		t.Errorf("refused %v while answers are in time", got)
 	}
-	if got := play(600 * ms); got[0] < 60 || got[0] < got[2] {
-		t.Errorf("refused %v by class while answers are late, want the first class, worth least, first", got)
+	if got := serve(600 * ms); got[0] < 60 || got[0] < got[2] {
+		t.Errorf("refused %v by class while answers are late, want most refusals in the first class, which has the lowest worth", got)
 	}
 	for range 4 {
-		play(50 * ms)
+		serve(50 * ms)
 	}
-	if got := play(50 * ms); got != [3]int{} {
+	if got := serve(50 * ms); got != [3]int{} {
 		t.Errorf("refused %v once answers are in time again", got)
 	}
 }
 
-// obb rough-1: hosts so late that attempts were called off at the deadline told
-// nothing, and requests were admitted on.
+// Attempts that were canceled at the deadline did not count as late, so requests were still
+// admitted although no host answered in time (obb rough-1).
 func TestOverdueAttemptsCountAsLate(t *testing.T) {
 	set := testSettings()
 	set.Instances = 40
@@ -196,22 +199,22 @@
 		}
 	}
 	if g.b.admit > 0.5 {
-		t.Errorf("%.2f of requests admitted with no answer by any deadline", g.b.admit)
+		t.Errorf("%.2f of the requests are admitted although none was answered by its deadline", g.b.admit)
 	}
 	if h := g.b.ring[0]; h.rtt < 0.4 {
-		t.Errorf("estimate %v of a host that answered nothing within 0.49 s", h.rtt)
+		t.Errorf("estimate %v for a host that did not answer within 0.49 s", h.rtt)
 	}
 }
 
-// The long day on sockets: requests that cost many times the usual held most hosts
-// until their deadlines, and a third of the others was refused.
+// Requests that cost many times the usual kept most hosts busy until their deadlines, and a third of
+// the other requests was refused. Overdue requests are therefore ended when others wait.
 func TestCostlyRequestsMakeRoom(t *testing.T) {
 	for class, want := range map[int]ActionKind{0: Refuse, 1: Fail, 2: Send} {
 		g := start(t, testSettings(), hosts(1)...)
 		costly := g.request(class, time.Second)
 		g.onlyAction(Send)
 		if acts := g.advance(500 * ms); len(acts) > 0 {
-			t.Fatalf("class %d past its aim, while none waits: %v", class, acts)
+			t.Fatalf("class %d past its aim while no request waits: %v", class, acts)
 		}
 		g.b.hosts[0].limit = 1
 		g.request(2, time.Second)
@@ -219,20 +222,20 @@
 			t.Fatalf("sent to a full host: %v", g.acts)
 		}
 		var answer ActionKind
-		off := false
+		canceled := false
 		for _, a := range g.advance(50 * ms) {
 			if a.Request != costly {
 				continue
 			}
 			if a.Kind == Cancel {
-				off = true
+				canceled = true
 			} else {
 				answer = a.Kind
 			}
 		}
-		// Send, the zero value, stands for no answer: one that may not be repeated keeps its attempt.
-		if answer != want || off != (want != Send) {
-			t.Errorf("class %d: answer %v, called off: %v", class, answer, off)
+		// Send, the zero value, means no answer: a request that must not be retried keeps its attempt.
+		if answer != want || canceled != (want != Send) {
+			t.Errorf("class %d: answer %v, canceled: %v", class, answer, canceled)
 		}
 	}
 }
@@ -281,19 +284,19 @@
 			g.now += 10 * ms
 			g.outcome(1, 0, OK, 10*ms)
 			if len(g.acts) == 0 || g.acts[0].Kind != Send || g.acts[0].Request != first {
-				t.Fatalf("actions %v, want the first try %d sent before the repeat", g.acts, first)
+				t.Fatalf("actions %v, want request %d sent before the client retry", g.acts, first)
 			}
 			g.now += 10 * ms
 			g.outcome(2, 0, OK, 20*ms)
 			if len(g.acts) == 0 || g.acts[0].Kind != Send || g.acts[0].Request != 1000 {
-				t.Fatalf("actions %v, want the repeat sent next", g.acts)
+				t.Fatalf("actions %v, want the client retry sent next", g.acts)
 			}
 		})
 	}
 }
 
-// A host whose table of connections is full turns requests away unseen: it is not broken, those
-// requests may go elsewhere whatever their class, and next to nothing more comes to it.
+// A host whose connection table is full refuses requests without processing them. It is not ejected,
+// the requests may be retried at other hosts whatever their class, and it gets few further requests.
 func TestFullTableIsNoBrokenHost(t *testing.T) {
 	set := testSettings()
 	set.Instances = 80
@@ -310,7 +313,7 @@
 				case a.Kind == Send && a.Request == id:
 					to = a.Host
 				case a.Kind == Fail:
-					t.Fatal("a request that was turned away unseen counts as one that may have run")
+					t.Fatal("a request that the host refused without processing counts as one that may have run")
 				}
 			}
 			if to == 0 {
@@ -327,15 +330,15 @@
 		g.advance(10 * ms)
 	}
 	if full.fails > 0 {
-		t.Error("a host with a full table is ejected as broken")
+		t.Error("a host with a full connection table is ejected")
 	}
 	if served < 295 || sent > 30 {
-		t.Errorf("%d of 300 are served, %d attempts at the full host", served, sent)
+		t.Errorf("%d of 300 requests are served, %d attempts at the full host", served, sent)
 	}
 }
 
-// A gateway that sees an answer now and then sheds for none that was costly, for a crowd that it
-// met several times it does, and no more two aims after: evidence that is not renewed is none.
+// A gateway that gets few answers does not shed because of a single costly one. It does when several
+// answers in a row are late, and stops two aims later, because old evidence decays.
 func TestOneCostlyAnswerIsNoCrowd(t *testing.T) {
 	set := testSettings()
 	set.Instances = 200
@@ -356,14 +359,14 @@
 	}
 	for range 20 {
 		if n := ask(5, 60*ms) + ask(1, 900*ms); n > 0 {
-			t.Fatalf("%d refused where every sixth answer is costly", n)
+			t.Fatalf("%d requests refused while every sixth answer is costly", n)
 		}
 	}
 	if n := ask(100, 900*ms); n < 10 {
-		t.Errorf("%d of 100 refused while every answer is late", n)
+		t.Errorf("%d of 100 requests refused while every answer is late", n)
 	}
 	g.advance(800 * ms)
 	if n := ask(100, 60*ms); n > 0 {
-		t.Errorf("%d refused after the crowd", n)
+		t.Errorf("%d requests refused after the overload", n)
 	}
 }
