--- a/example_test.go
+++ b/example_test.go
@@ -7,9 +7,10 @@
 	"frostshift"
 )
 
-// A gateway's event loop: report each event with the time, then carry out the
-// actions. Here the network and the clock are scripted; a real gateway sends
-// the request on Send and reports the answer with Outcome when it arrives.
+// Example shows the event loop of a gateway: it reports each event with the
+// time and then carries out the actions. Here the network and the clock are
+// scripted; a real gateway sends the request on Send and reports the answer
+// with Outcome when it arrives.
 func Example() {
 	settings := frostshift.Settings{
 		Instances: 1,
@@ -23,7 +24,7 @@
 	}
 
 	timers := map[uint64]frostshift.Time{} // a real gateway keeps a timer queue
-	var actions []frostshift.Action        // ours; reused for every event
+	var actions []frostshift.Action        // owned by the gateway; reused for every event
 	carryOut := func() {
 		actions = b.Drain(actions[:0])
 		for _, a := range actions {
@@ -46,12 +47,12 @@
 
 	now := time.Minute
 	b.Start(now)
-	// After a restart the list saved on disk comes first; it may be stale.
+	// After a restart, pass the list saved on disk first; it may be stale.
 	b.Hosts(now, frostshift.ListSaved, []frostshift.Host{{ID: 7}})
 	b.Request(now, frostshift.Request{ID: 1, Left: time.Second})
 	carryOut()
 
-	// The host refuses connections; nothing ran, so another host gets it.
+	// The host refuses the connection; the attempt did not run, so another host gets the request.
 	now += 5 * time.Millisecond
 	b.Hosts(now, frostshift.ListChanges, []frostshift.Host{{ID: 8}})
 	b.Outcome(now, frostshift.Outcome{Request: 1, Attempt: 0,
@@ -64,7 +65,7 @@
 		Result: frostshift.OK, Elapsed: 40 * time.Millisecond, Closed: true})
 	carryOut()
 
-	// Timers ring even when no longer wanted; the balancer ignores those.
+	// Timers fire even when they are no longer needed; the balancer ignores those.
 	for token, at := range timers {
 		b.Timer(max(now, at), token)
 		carryOut()
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// FuzzRules plays random legal histories of events and checks after each that
-// the four rules hold: every request one answer in time and nothing after it,
-// no effect twice, nothing to hosts that drain or are gone, no cold host over
-// its budget.
+// FuzzRules runs random valid sequences of events and checks that four rules
+// hold: every request gets one answer in time and nothing after it, no unsafe
+// request runs twice and no keyed one beyond its window or group, draining and
+// removed hosts get no requests, and no cold host gets more than its budget.
 func FuzzRules(f *testing.F) {
 	for seed := range int64(24) {
 		r := rand.New(rand.NewSource(seed))
@@ -25,6 +25,7 @@
 	})
 }
 
+// trackedAttempt is one attempt as the test has observed it.
 type trackedAttempt struct {
 	host   Host
 	sent   Time
@@ -32,13 +33,15 @@
 	result Result
 }
 
-type tracked struct {
+// trackedRequest is one request as the test has observed it.
+type trackedRequest struct {
 	class    *Class
 	deadline Time
 	answered bool
 	atts     []trackedAttempt
 }
 
+// history is the state of one sequence of events.
 type history struct {
 	*testing.T
 	b     *Balancer
@@ -46,15 +49,15 @@
 	now   Time
 	wakes []Action
 	next  RequestID
-	reqs  map[RequestID]*tracked
-	live  []RequestID // with attempts out or without an answer
+	reqs  map[RequestID]*trackedRequest
+	live  []RequestID // requests with attempts in flight or without an answer
 	hosts [6]Host
 	cold  [6][]Time // sends while cold
-	rate  float64   // highest learnt warm rate
+	rate  float64   // highest learned rate of a warm host
 }
 
 func newHistory(t *testing.T, c []byte) *history {
-	h := &history{T: t, now: 1 << 40, reqs: map[RequestID]*tracked{}}
+	h := &history{T: t, now: 1 << 40, reqs: map[RequestID]*trackedRequest{}}
 	h.set = Settings{
 		Instances: []int{1, 2, 5, 40, 300}[c[0]%5], Zones: 1 + int(c[0]/5%2), Step: Time(1+c[1]%5) * ms, MaxAttempts: 1 + int(c[2]%4),
 		Cancel: c[3]&1 == 0, MaxRetryAfter: time.Second,
@@ -86,11 +89,11 @@
 	for i := 3 + int(c[6]%4); i < len(h.hosts); i++ {
 		h.hosts[i].State = Removed
 	}
-	h.settle()
+	h.carryOut()
 	return h
 }
 
-// play takes two bytes an event: what, and with what.
+// play runs the events in data, two bytes for each: its kind and its argument.
 func (h *history) play(data []byte) {
 	for ; len(data) >= 2; data = data[2:] {
 		x := int(data[1])
@@ -100,7 +103,7 @@
 		case 3, 4, 5:
 			h.end(x, Result(data[0]/10%8))
 		case 6:
-			h.news(x, data[0])
+			h.changeList(x, data[0])
 		case 7:
 			h.leave(x)
 		default:
@@ -110,14 +113,14 @@
 	h.advance(2 * time.Second)
 	for id, r := range h.reqs {
 		if !r.answered {
-			h.Fatalf("request %d has no answer", id)
+			h.Fatalf("request %d has no answer at the end", id)
 		}
 		for n := range r.atts {
 			h.finish(id, n, Canceled)
 		}
 	}
 	if len(h.b.reqs) != 0 || h.b.queued != 0 {
-		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.reqs), h.b.queued)
+		h.Fatalf("%d requests stored and %d waiting after all have ended", len(h.b.reqs), h.b.queued)
 	}
 	for _, x := range h.b.hosts {
 		if x.pending != 0 || x.flight.head != nil {
@@ -130,13 +133,13 @@
 	h.next++
 	cl := &h.set.Classes[x%5]
 	left := cl.Deadline * Time(x/5) / 50
-	h.reqs[h.next] = &tracked{class: cl, deadline: h.now + left}
+	h.reqs[h.next] = &trackedRequest{class: cl, deadline: h.now + left}
 	h.live = append(h.live, h.next)
 	h.b.Request(h.now, Request{ID: h.next, Class: x % 5, Tenant: x & 1, Left: left, Repeat: x&2 != 0})
-	h.settle()
+	h.carryOut()
 }
 
-// end finishes one attempt that is out.
+// end finishes one attempt that is in flight.
 func (h *history) end(x int, result Result) {
 	for k := range h.live {
 		id := h.live[(k+x)%len(h.live)]
@@ -161,16 +164,16 @@
 	}
 	h.b.Outcome(h.now, Outcome{Request: id, Attempt: n, Result: result,
 		Elapsed: h.now - a.sent, Closed: r.answered})
-	h.settle()
+	h.carryOut()
 }
 
-// news changes a host on the list, or the list fails.
-func (h *history) news(x int, how byte) {
+// changeList changes a host on the list, or reports that the list failed.
+func (h *history) changeList(x int, change byte) {
 	e := &h.hosts[x%6]
-	switch how / 10 % 5 {
+	switch change / 10 % 5 {
 	case 0:
 		h.b.Hosts(h.now, ListFailed, nil)
-		h.settle()
+		h.carryOut()
 		return
 	case 1:
 		e.State = Draining
@@ -193,9 +196,10 @@
 		}
 		h.b.Hosts(h.now, ListFull, list)
 	}
-	h.settle()
+	h.carryOut()
 }
 
+// leave reports that the client of a request has gone.
 func (h *history) leave(x int) {
 	if len(h.live) == 0 {
 		return
@@ -203,10 +207,10 @@
 	id := h.live[x%len(h.live)]
 	h.reqs[id].answered = true
 	h.b.Gone(h.now, id)
-	h.settle()
+	h.carryOut()
 }
 
-// advance moves the clock by steps and rings what is due.
+// advance moves the clock in steps and fires the timers that are due.
 func (h *history) advance(d Time) {
 	for end := h.now + d; h.now < end; {
 		h.now += h.set.Step
@@ -222,7 +226,7 @@
 		h.wakes = keep
 		for _, w := range due {
 			h.b.Timer(h.now, w.Token)
-			h.settle()
+			h.carryOut()
 		}
 		live := h.live[:0]
 		for _, id := range h.live {
@@ -230,7 +234,7 @@
 			if !r.answered && h.now > r.deadline {
 				h.Fatalf("request %d has no answer at its deadline", id)
 			}
-			if !r.answered || r.out() > 0 {
+			if !r.answered || r.inFlight() > 0 {
 				live = append(live, id)
 			}
 		}
@@ -238,7 +242,8 @@
 	}
 }
 
-func (r *tracked) out() (n int) {
+// inFlight returns the number of attempts that have not ended.
+func (r *trackedRequest) inFlight() (n int) {
 	for _, a := range r.atts {
 		if !a.ended {
 			n++
@@ -247,8 +252,8 @@
 	return n
 }
 
-// settle carries out the actions and checks them against the rules.
-func (h *history) settle() {
+// carryOut carries out the actions and checks them against the rules.
+func (h *history) carryOut() {
 	h.rate = max(h.rate, h.b.warmRate())
 	for _, a := range h.b.Drain(nil) {
 		switch a.Kind {
@@ -258,7 +263,7 @@
 			h.send(a)
 		case Cancel:
 			if r := h.reqs[a.Request]; !h.set.Cancel || a.Attempt >= len(r.atts) || r.atts[a.Attempt].ended {
-				h.Fatalf("cancel %+v not allowed", a)
+				h.Fatalf("cancel action %+v is not allowed", a)
 			}
 		case Refuse, Fail:
 			h.answer(a)
@@ -278,7 +283,7 @@
 	if len(r.atts) >= h.set.MaxAttempts {
 		h.Fatalf("request %d has more than %d attempts", a.Request, h.set.MaxAttempts)
 	}
-	if r.out() > 0 {
+	if r.inFlight() > 0 {
 		h.Fatalf("request %d has two attempts at once", a.Request)
 	}
 	for _, p := range r.atts {
@@ -300,8 +305,8 @@
 	h.checkCold(int(a.Host-1), host)
 }
 
-// checkCold counts the sends of the last Fall against the budget at the most
-// that this instance can have learnt.
+// checkCold compares the number of sends in the last overload window with the
+// highest budget that this instance can have computed from its learned state.
 func (h *history) checkCold(i int, host Host) {
 	age := h.now - host.Started
 	if host.Started == 0 || age >= h.set.WarmAfter {
@@ -315,17 +320,17 @@
 		}
 	}
 	share := h.set.ColdFrom + (1-h.set.ColdFrom)*age.Seconds()/h.set.WarmAfter.Seconds()
-	// Where nothing is known, a host is taken to serve one request in the shortest aim.
+	// Without learned state, a host is assumed to serve one request per shortest aim.
 	rate := max(h.rate, 1/h.set.Classes[0].Aim.Seconds()) / max(1, h.b.byID[host.ID].sharers)
-	if most := 2 + rate*h.set.OverloadFactor*share*h.set.OverloadWindow.Seconds(); float64(n) > most {
-		h.Fatalf("%d sends within %v to cold host %d, budget %.1f", n, h.set.OverloadWindow, host.ID, most)
+	if limit := 2 + rate*h.set.OverloadFactor*share*h.set.OverloadWindow.Seconds(); float64(n) > limit {
+		h.Fatalf("%d sends within %v to cold host %d, budget %.1f", n, h.set.OverloadWindow, host.ID, limit)
 	}
 }
 
 func (h *history) answer(a Action) {
 	r := h.reqs[a.Request]
 	if r == nil || r.answered {
-		h.Fatalf("request %d answered twice", a.Request)
+		h.Fatalf("request %d is answered twice or is unknown", a.Request)
 	}
 	r.answered = true
 	if a.Kind == Fail {
--- a/subset_test.go
+++ b/subset_test.go
@@ -6,13 +6,14 @@
 	"time"
 )
 
-// All incidents at size: 97 of 100 attempts got no connection, as each of hundreds
-// of instances drew from the whole list.
+// In large fleets 97 of 100 attempts got no connection, because each of hundreds of instances
+// selected from the whole list. Each host must be in about the same number of subsets, and a change
+// of the list must move few of them.
 func TestSubsetsAreSmallEvenAndStable(t *testing.T) {
 	set := testSettings()
 	set.Instances = 240
 	list := hosts(48)
-	meet := map[HostID]int{}
+	sharers := map[HostID]int{}
 	moved := 0
 	for rank := range set.Instances {
 		set.Rank = rank
@@ -27,10 +28,10 @@
 		}
 		before := members()
 		if len(before) != subsetLeast {
-			t.Fatalf("rank %d draws from %d hosts, want %d", rank, len(before), subsetLeast)
+			t.Fatalf("rank %d selects from %d hosts, want %d", rank, len(before), subsetLeast)
 		}
 		for id := range before {
-			meet[id]++
+			sharers[id]++
 		}
 		g.list(ListChanges, Host{ID: 100})
 		for id := range members() {
@@ -40,17 +41,17 @@
 		}
 	}
 	for _, h := range list {
-		if n := meet[h.ID]; n < 17 || n > 23 { // 20 in the mean
+		if n := sharers[h.ID]; n < 17 || n > 23 { // the mean is 20
 			t.Errorf("host %d is in %d subsets of %d", h.ID, n, set.Instances)
 		}
 	}
-	if most := set.Instances; moved > most {
-		t.Errorf("%d places moved when a host came, want at most %d", moved, most)
+	if limit := set.Instances; moved > limit {
+		t.Errorf("%d subset entries changed when a host was added, want at most %d", moved, limit)
 	}
 }
 
-// With 36 of 60 hosts replaced in a fleet of 80, those that had warmed up went on counting as
-// cold until the next list, so each instance thought that the few others were shared by all.
+// With 36 of 60 hosts replaced in a fleet of 80, hosts that had become warm still counted as cold
+// until the next list, so each instance assumed that all instances shared the few other hosts.
 func TestHostsThatWarmUpCountAtOnce(t *testing.T) {
 	set := testSettings()
 	set.Instances = 80
@@ -65,14 +66,15 @@
 	g.b.admit = 1
 	g.serve(int(set.WarmAfter/(10*ms))+100, 0, func(HostID) time.Duration { return 10 * ms })
 	if g.b.warm != 60 {
-		t.Errorf("%d hosts are warm once all are, want 60", g.b.warm)
+		t.Errorf("%d hosts count as warm after WarmAfter, want 60", g.b.warm)
 	}
 	if want := float64(g.b.subset) * 80 / 60; g.b.sharers != want {
 		t.Errorf("%.1f instances share a host, want %.1f", g.b.sharers, want)
 	}
 }
 
-// Lists of odd sizes: none, one host named twice, and far more than any fleet has.
+// Lists of unusual sizes: an empty list, a host that is listed twice, and far more hosts than any
+// fleet has.
 func TestListsOfOddSizes(t *testing.T) {
 	set := testSettings()
 	set.Instances, set.Rank = 200, 199
@@ -90,7 +92,7 @@
 	}
 	g.list(ListFull, Host{ID: 7}, Host{ID: 7, Kind: 1})
 	if len(g.b.hosts) != 1 || len(g.b.ring) != 1 || g.b.hosts[0].Kind != 1 {
-		t.Errorf("a host that is named twice is %d hosts, %d to draw from", len(g.b.hosts), len(g.b.ring))
+		t.Errorf("a host that is listed twice counts as %d hosts, %d of them in the ring", len(g.b.hosts), len(g.b.ring))
 	}
 	g.list(ListFull, hosts(100_000)...)
 	g.b.pick(&request{class: &g.b.set.Classes[0]})
@@ -99,95 +101,95 @@
 	}
 	g.list(ListFull)
 	if len(g.b.hosts)+len(g.b.ring)+len(g.b.places)+len(g.b.byID) > 0 {
-		t.Error("hosts are kept that no list names")
+		t.Error("hosts that are not on the list are still stored")
 	}
 }
 
-// However many instances and hosts there are and however few of the hosts are of use, an
-// instance keeps to a few of them: what each of many may hold is one attempt at least, and
-// that of twelve instances together made every answer late.
+// Whatever the number of instances and hosts, few instances share a host. Each instance may have at
+// least one attempt in flight at a host, and those of twelve instances together made every answer
+// late.
 func TestFewInstancesShareAHost(t *testing.T) {
 	for _, n := range []struct{ instances, hosts int }{{2, 12}, {20, 30}, {80, 60}, {200, 60}, {200, 200}} {
-		meet := map[HostID]int{}
+		sharers := map[HostID]int{}
 		for rank := range n.instances {
 			set := testSettings()
 			set.Instances, set.Rank = n.instances, rank
 			g := start(t, set, hosts(n.hosts)...)
 			g.b.pick(&request{class: &g.b.set.Classes[0]})
 			for _, h := range g.b.ready {
-				meet[h.ID]++
+				sharers[h.ID]++
 			}
 		}
-		most := max(subsetMeet, subsetLeast*n.instances/n.hosts) + 2 // evenly, but for rounding
-		for id, got := range meet {
-			if got > most {
-				t.Errorf("%d instances, %d hosts: %d share host %x, want %d at most", n.instances, n.hosts, got, id, most)
+		limit := max(subsetMeet, subsetLeast*n.instances/n.hosts) + 2 // the even number, plus rounding
+		for id, got := range sharers {
+			if got > limit {
+				t.Errorf("%d instances, %d hosts: %d instances share host %x, want at most %d", n.instances, n.hosts, got, id, limit)
 			}
 		}
-		if len(meet) != n.hosts {
-			t.Errorf("%d instances, %d hosts: %d hosts are used", n.instances, n.hosts, len(meet))
+		if len(sharers) != n.hosts {
+			t.Errorf("%d instances, %d hosts: %d hosts are used", n.instances, n.hosts, len(sharers))
 		}
 	}
 }
 
-// A small fleet goes on drawing from the whole list.
+// In a small fleet each instance selects from the whole list.
 func TestSmallFleetDrawsFromAll(t *testing.T) {
 	set := testSettings()
 	set.Instances = subsetMeet
 	g := start(t, set, hosts(20)...)
 	g.b.pick(&request{class: &g.b.set.Classes[0]})
 	if len(g.b.ready) != 20 {
-		t.Errorf("draws from %d hosts of 20", len(g.b.ready))
+		t.Errorf("selects from %d hosts of 20", len(g.b.ready))
 	}
 }
 
-// The next hosts of the ring stand in for those of the subset that are out.
+// The next hosts of the ring replace hosts of the subset that are ejected.
 func TestSubsetIsMadeUpWhenHostsAreOut(t *testing.T) {
 	set := testSettings()
 	set.Instances = 240
 	g := start(t, set, hosts(48)...)
-	for out, want := range []int{subsetLeast, 3, 2} { // two are left to choose from
+	for ejected, want := range []int{subsetLeast, 3, 2} { // at least two remain as candidates
 		g.b.pick(&request{class: &g.b.set.Classes[0]})
 		if len(g.b.ready) != want {
-			t.Errorf("draws from %d hosts with %d out, want %d", len(g.b.ready), out, want)
+			t.Errorf("selects from %d hosts with %d ejected, want %d", len(g.b.ready), ejected, want)
 		}
-		g.b.eject(g.b.ring[out], "test")
+		g.b.eject(g.b.ring[ejected], "test")
 	}
 }
 
-// In a large subset hosts are drawn, not walked: each ready one is as likely as any other,
-// and none that is out, draining or full is chosen. With most of them out, the walk finds
-// the rest.
+// In a large subset, hosts are selected at random instead of by a scan: each ready host is equally
+// likely, and none that is draining or at its limit is chosen. When most hosts are not usable, the
+// scan finds the remaining ones.
 func TestDrawIsOfReadyHosts(t *testing.T) {
 	const n = 200
 	g := start(t, testSettings(), hosts(n)...)
-	var leaving []Host
+	var draining []Host
 	for i := range n / 4 {
-		leaving = append(leaving, Host{ID: g.b.hosts[i*4].ID, State: Draining})
+		draining = append(draining, Host{ID: g.b.hosts[i*4].ID, State: Draining})
 	}
-	g.b.Hosts(g.b.now, ListChanges, leaving)
+	g.b.Hosts(g.b.now, ListChanges, draining)
 	g.b.Drain(nil)
 	r := &request{class: &g.b.set.Classes[0]}
 	got := map[HostID]int{}
-	const draws = 30_000
-	for range draws {
+	const picks = 30_000
+	for range picks {
 		h := g.b.pick(r)
 		if h == nil || h.State != Ready {
 			t.Fatalf("picked %+v", h)
 		}
 		got[h.ID]++
 	}
-	mean := float64(draws) / (n * 3 / 4)
+	mean := float64(picks) / (n * 3 / 4)
 	for id, k := range got {
 		if d := float64(k) - mean; d*d > 36*mean {
-			t.Errorf("host %x was picked %d times, the mean is %.0f", id, k, mean)
+			t.Errorf("host %x was selected %d times, the mean is %.0f", id, k, mean)
 		}
 	}
 	if len(got) != n*3/4 {
-		t.Errorf("%d hosts were picked, want all %d that are ready", len(got), n*3/4)
+		t.Errorf("%d hosts were selected, want all %d that are ready", len(got), n*3/4)
 	}
 	var only HostID
-	for _, h := range g.b.hosts { // all but one are full
+	for _, h := range g.b.hosts { // all but one are at their limits
 		if h.State == Ready && only == 0 {
 			only = h.ID
 		} else {
@@ -201,8 +203,8 @@
 	}
 }
 
-// However the list changes, the hosts stand in the order of their places, each ready one
-// once, as if they had been sorted anew.
+// However the list changes, the ready hosts are stored in the order of their positions on the ring,
+// each of them once, as if they had been sorted again.
 func TestPlacesAreKeptInOrder(t *testing.T) {
 	g := start(t, testSettings(), hosts(50)...)
 	next := HostID(1000)
@@ -231,18 +233,18 @@
 			}
 		}
 		if len(g.b.places) != ready || len(g.b.ring) != ready {
-			t.Fatalf("round %d: %d places and a ring of %d for %d ready hosts", round, len(g.b.places), len(g.b.ring), ready)
+			t.Fatalf("round %d: %d positions and a ring of %d for %d ready hosts", round, len(g.b.places), len(g.b.ring), ready)
 		}
 		for i, h := range g.b.places {
 			if h.State != Ready || i > 0 && g.b.places[i-1].place >= h.place {
-				t.Fatalf("round %d: place %d is out of order", round, i)
+				t.Fatalf("round %d: position %d is out of order", round, i)
 			}
 		}
 	}
 }
 
-// Hosts that are alike get alike of few requests, though some are costly; one that is slower by
-// far gets less.
+// Hosts that are alike get similar shares even of a few requests, although some requests are costly.
+// A host that is much slower gets less.
 func TestHostsAlikeAreDealtAlike(t *testing.T) {
 	g := start(t, testSettings(), hosts(4)...)
 	g.serve(40, 0, func(HostID) time.Duration { return 20 * ms })
@@ -260,12 +262,13 @@
 	}
 	g.serve(40, 0, func(h HostID) time.Duration { return 20 * ms * time.Duration(1+3*(h/4)) })
 	if got := g.serve(40, 0, func(h HostID) time.Duration { return 20 * ms * time.Duration(1+3*(h/4)) }); got[4] > 4 {
-		t.Errorf("a host slower by four got %d of 40", got[4])
+		t.Errorf("a host that is four times slower got %d of 40", got[4])
 	}
 }
 
-// An instance that has most of the load draws from more hosts, so that it is not refused for its
-// own requests; cold hosts beyond its subset have others that pace them and get nothing of it.
+// An instance that has most of the load selects from more hosts, so that its own requests do not
+// reach the limits of its subset. Cold hosts outside its subset get nothing from it, because only
+// their sharers pace them.
 func TestOwnLoadWidensTheSubset(t *testing.T) {
 	set := testSettings()
 	set.Instances, set.MaxAttempts = 100, 1
@@ -274,19 +277,19 @@
 		list[20+i].Started = time.Hour - time.Second
 	}
 	g := start(t, set, list...)
-	var open []RequestID
+	var inFlight []RequestID
 	used := map[HostID]bool{}
-	for i := range 1000 { // 200 a second that take 40 ms: 8 are out
+	for i := range 1000 { // 200 per second that take 40 ms each: 8 are in flight
 		id := g.request(0, time.Second)
 		if len(g.acts) > 0 && g.acts[0].Kind == Send {
 			used[g.acts[0].Host] = true
 		} else if i > 200 {
-			t.Fatalf("request %d has no host at once: %v", i, g.acts)
+			t.Fatalf("request %d is not sent immediately: %v", i, g.acts)
 		}
-		open = append(open, id)
-		if len(open) > 8 {
-			g.outcome(open[0], 0, OK, 40*ms)
-			open = open[1:]
+		inFlight = append(inFlight, id)
+		if len(inFlight) > 8 {
+			g.outcome(inFlight[0], 0, OK, 40*ms)
+			inFlight = inFlight[1:]
 		}
 		g.advance(5 * ms)
 	}
@@ -297,6 +300,6 @@
 		}
 	}
 	if len(used)-cold < 8 || cold > subsetLeast {
-		t.Errorf("%d warm and %d cold hosts are used, want many and only those of the subset", len(used)-cold, cold)
+		t.Errorf("%d warm and %d cold hosts are used, want at least 8 warm ones and only the cold ones of the subset", len(used)-cold, cold)
 	}
 }
