--- a/discovery_test.go
+++ b/discovery_test.go
@@ -52,13 +52,13 @@
 		for g.advance(ms); len(g.acts) == 0; g.advance(ms) {
 		}
 		for fails := range 20 {
-			most := 1200 * ms
+			limit := 1200 * ms
 			if fails > 0 {
-				most = 2400 * ms
+				limit = 2400 * ms
 			}
 			g.list(ListFailed)
-			if n := len(g.advance(most + ms)); n == 0 {
-				t.Fatalf("AskWithin %v, failure %d: no watch within %v", within, fails, most)
+			if n := len(g.advance(limit + ms)); n == 0 {
+				t.Fatalf("AskWithin %v, failure %d: no watch within %v", within, fails, limit)
 			}
 		}
 	}
--- a/eject_test.go
+++ b/eject_test.go
@@ -154,7 +154,7 @@
 		g.outcome(id, 0, OK, 10*ms)
 	}
 	if g.b.hosts[0].fails != 0 {
-		t.Error("a host that answers other requests is ejected")
+		t.Error("ejected")
 	}
 }
 
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -27,11 +27,11 @@
 			set := testSettings()
 			set.Instances = live
 			g := start(t, set, list...)
-			most := live + rapid.IntRange(0, live).Draw(rt, "more") // instances that failed or are partitioned off
-			least := rapid.IntRange((live+1)/2, max((live+1)/2, most-1)).Draw(rt, "least")
-			_, place := math.Modf(offset + float64(n)/float64(live))
+			maxLive := live + rapid.IntRange(0, live).Draw(rt, "more") // instances that failed or are partitioned off
+			minLive := rapid.IntRange((live+1)/2, max((live+1)/2, maxLive-1)).Draw(rt, "least")
+			_, position := math.Modf(offset + float64(n)/float64(live))
 			g.b.served, g.b.servedAt, g.b.servedFrom = warm, g.now, g.now-time.Hour
-			g.b.Fleet(g.now, Fleet{Position: place, Min: least, Max: most})
+			g.b.Fleet(g.now, Fleet{Position: position, Min: minLive, Max: maxLive})
 			h := g.b.byID[list[cold].ID]
 			for i, x := range g.b.ring[:min(g.b.subset, len(g.b.ring))] {
 				if x == h && h.mine && i < g.b.subset {
--- a/hosts_test.go
+++ b/hosts_test.go
@@ -55,12 +55,12 @@
 	list := hosts(4)
 	list[2].Backup, list[3].Backup = true, true
 	g := start(t, testSettings(), list...)
-	at := map[HostID]int{}
+	counts := map[HostID]int{}
 	send := func() (id RequestID, host HostID) {
 		id = g.request(0, time.Second)
 		if len(g.acts) == 1 && g.acts[0].Kind == Send {
 			host = g.acts[0].Host
-			at[host]++
+			counts[host]++
 		}
 		return id, host
 	}
@@ -69,20 +69,20 @@
 		g.outcome(id, 0, OK, 5*ms)
 		g.advance(ms)
 	}
-	if at[3]+at[4] > 0 {
-		t.Fatalf("backup hosts 3 and 4 got requests: %v", at)
+	if counts[3]+counts[4] > 0 {
+		t.Fatalf("backup hosts 3 and 4 got requests: %v", counts)
 	}
-	held := 0
+	sent := 0
 	for range 50 { // up to the in-flight limits of the others
 		if _, host := send(); host != 0 {
-			held++
+			sent++
 		}
 	}
-	if at[3]+at[4] > 0 || held == 50 {
-		t.Fatalf("backup hosts 3 and 4 got requests because the others were at their limits: %v", at)
+	if counts[3]+counts[4] > 0 || sent == 50 {
+		t.Fatalf("backup hosts 3 and 4 got requests because the others were at their limits: %v", counts)
 	}
 	g = start(t, testSettings(), list...)
-	clear(at)
+	clear(counts)
 	for range 30 { // connections to the others fail
 		id, host := send()
 		n := 0
@@ -94,19 +94,19 @@
 				break
 			}
 			host = g.acts[0].Host
-			at[host]++
+			counts[host]++
 		}
 		if host != 0 {
 			g.outcome(id, n, OK, 5*ms)
 		}
 		g.advance(ms)
 	}
-	if at[3]+at[4] < 25 {
-		t.Errorf("backup hosts got %d of 30 requests that no other host accepted: %v", at[3]+at[4], at)
+	if counts[3]+counts[4] < 25 {
+		t.Errorf("backup hosts got %d of 30 requests that no other host accepted: %v", counts[3]+counts[4], counts)
 	}
 	list[0].State, list[1].State = Removed, Removed
 	g.list(ListChanges, list[:2]...)
-	clear(at)
+	clear(counts)
 	id, host := send()
 	if host != 3 && host != 4 {
 		t.Errorf("with no other host listed a request goes to %x", host)
@@ -125,19 +125,19 @@
 			sum += w
 		}
 		g := start(t, testSettings(), list...)
-		at := make([]int, len(weights))
+		counts := make([]int, len(weights))
 		rng := rand.New(rand.NewPCG(1, 2))
 		for i := range 13_000 {
 			id := g.request(0, time.Second)
 			if i == 3000 { // the phase in which hosts have no samples is over
-				clear(at)
+				clear(counts)
 			}
-			at[g.acts[0].Host-1]++
+			counts[g.acts[0].Host-1]++
 			g.advance(10 * ms)
 			g.outcome(id, 0, OK, Time(rng.ExpFloat64()*float64(5*ms)))
 		}
 		for i, w := range weights {
-			share, want := float64(at[i])/10_000, w/sum
+			share, want := float64(counts[i])/10_000, w/sum
 			if diff := max(share-want, want-share); diff > max(want/5, 0.01) {
 				t.Errorf("weights %v: host %d got %.3f, want %.3f", weights, i+1, share, want)
 			}
@@ -167,20 +167,20 @@
 			h = x
 		}
 	}
-	if most := (hintAims * g.b.aim).Seconds(); h.rtt < most*0.99 || h.rtt > most {
-		t.Errorf("the estimate is %v s, want the bound of the hint %v", h.rtt, most)
+	if bound := (hintAims * g.b.aim).Seconds(); h.rtt < bound*0.99 || h.rtt > bound {
+		t.Errorf("the estimate is %v s, want the bound of the hint %v", h.rtt, bound)
 	}
-	at := 0
+	sends := 0
 	for range 100 {
 		id := g.request(0, time.Second)
 		if g.acts[0].Host == first {
-			at++
+			sends++
 		}
 		g.advance(5 * ms)
 		g.outcome(id, 0, OK, 5*ms)
 	}
-	if at > 2 {
-		t.Errorf("%d of 100 requests go to a host that asked for a delay", at)
+	if sends > 2 {
+		t.Errorf("%d of 100 requests go to a host that asked for a delay", sends)
 	}
 	if h.fails > 0 {
 		t.Error("the host is ejected for a Busy answer")
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -20,16 +20,16 @@
 
 // Codes of events, from the simulator to the balancers.
 const (
-	Hello      = 0
-	PeersKnown = 1
-	Req        = 2
-	Flowing    = 3
-	AttemptEnd = 4
-	Withdrawn  = 5
-	TimerFired = 6
-	StatusBack = 7
-	FromPeer   = 8
-	Halt       = 9
+	Hello      = 0 // starts an instance
+	PeersKnown = 1 // a host list, or its failure
+	Req        = 2 // a request has arrived
+	Flowing    = 3 // the answer to an attempt has begun to arrive
+	AttemptEnd = 4 // an attempt has ended
+	Withdrawn  = 5 // the client of a request has gone
+	TimerFired = 6 // a timer set by a Wake action has fired
+	StatusBack = 7 // the result of a probe; ignored
+	FromPeer   = 8 // a message of another instance; ignored
+	Halt       = 9 // stops an instance
 )
 
 // Codes of actions, from the balancers to the simulator.
--- a/stagger_test.go
+++ b/stagger_test.go
@@ -45,16 +45,16 @@
 
 // rateEstimates returns the estimate of the rate for each instance.
 func (f coldFleet) rateEstimates(r *rand.Rand) []float64 {
-	figures := make([]float64, f.instances)
+	estimates := make([]float64, f.instances)
 	sum := 0.0
-	for i := range figures {
-		figures[i] = math.Exp(f.skew * r.NormFloat64())
-		sum += figures[i]
+	for i := range estimates {
+		estimates[i] = math.Exp(f.skew * r.NormFloat64())
+		sum += estimates[i]
 	}
-	for i := range figures {
-		figures[i] *= f.rate * float64(f.instances) / sum
+	for i := range estimates {
+		estimates[i] *= f.rate * float64(f.instances) / sum
 	}
-	return figures
+	return estimates
 }
 
 // coldSends simulates instances that share no state. It returns the times of all requests to the cold host, and
