--- a/hosts_test.go
+++ b/hosts_test.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// What the gateway stood still is no slowness of hosts: limits stay, nobody is ejected as
-// silent, and a slow host is told all the same.
+// A stall of the gateway itself does not count as slowness of the hosts: limits stay and no host
+// is ejected as silent. A host that is slow without a stall is still detected.
 func TestOwnStallsAreLeftOut(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	for range 40 {
 		id := g.request(0, time.Second)
 		g.advance(5 * ms)
@@ -21,7 +21,7 @@
 		for range 4 {
 			ids = append(ids, g.request(0, time.Second))
 		}
-		// All stands still for 300 ms; the answers had come after 5.
+		// The process stalls for 300 ms; the answers arrived after 5 ms.
 		g.now += 300 * ms
 		g.b.Stalled(g.now, 295*ms)
 		g.advance(0)
@@ -45,21 +45,22 @@
 		}
 	}
 	if h := g.b.hosts[0]; h.limit >= before {
-		t.Errorf("limit %v: a host that is slow by itself is not told", h.limit)
+		t.Errorf("limit %v: a host that is slow without a stall is not detected", h.limit)
 	}
 }
 
-// Backups get work where no other host can, and none where those are merely full.
+// Backup hosts get requests when no other host can take any, and none when the others are merely
+// at their limits.
 func TestBackups(t *testing.T) {
 	list := hosts(4)
 	list[2].Backup, list[3].Backup = true, true
-	g := start(t, basic(), list...)
-	at := map[HostID]int{}
+	g := start(t, testSettings(), list...)
+	counts := map[HostID]int{}
 	send := func() (id RequestID, host HostID) {
 		id = g.request(0, time.Second)
 		if len(g.acts) == 1 && g.acts[0].Kind == Send {
 			host = g.acts[0].Host
-			at[host]++
+			counts[host]++
 		}
 		return id, host
 	}
@@ -68,21 +69,21 @@
 		g.outcome(id, 0, OK, 5*ms)
 		g.advance(ms)
 	}
-	if at[3]+at[4] > 0 {
-		t.Fatalf("backups got work: %v", at)
+	if counts[3]+counts[4] > 0 {
+		t.Fatalf("backup hosts 3 and 4 got requests: %v", counts)
 	}
-	held := 0
-	for range 50 { // all that the others may hold
+	sent := 0
+	for range 50 { // up to the in-flight limits of the others
 		if _, host := send(); host != 0 {
-			held++
+			sent++
 		}
 	}
-	if at[3]+at[4] > 0 || held == 50 {
-		t.Fatalf("backups got what the others had no room for: %v", at)
+	if counts[3]+counts[4] > 0 || sent == 50 {
+		t.Fatalf("backup hosts 3 and 4 got requests because the others were at their limits: %v", counts)
 	}
-	g = start(t, basic(), list...)
-	clear(at)
-	for range 30 { // the others take no connection
+	g = start(t, testSettings(), list...)
+	clear(counts)
+	for range 30 { // connections to the others fail
 		id, host := send()
 		n := 0
 		for host == 1 || host == 2 {
@@ -93,19 +94,19 @@
 				break
 			}
 			host = g.acts[0].Host
-			at[host]++
+			counts[host]++
 		}
 		if host != 0 {
 			g.outcome(id, n, OK, 5*ms)
 		}
 		g.advance(ms)
 	}
-	if at[3]+at[4] < 25 {
-		t.Errorf("backups got %d of 30 requests that no other host took: %v", at[3]+at[4], at)
+	if counts[3]+counts[4] < 25 {
+		t.Errorf("backup hosts got %d of 30 requests that no other host accepted: %v", counts[3]+counts[4], counts)
 	}
 	list[0].State, list[1].State = Removed, Removed
 	g.list(ListChanges, list[:2]...)
-	clear(at)
+	clear(counts)
 	id, host := send()
 	if host != 3 && host != 4 {
 		t.Errorf("with no other host listed a request goes to %x", host)
@@ -113,8 +114,8 @@
 	g.outcome(id, 0, OK, 5*ms)
 }
 
-// Weights: over 10,000 requests at hosts that are alike each gets its share, within a fifth
-// of it or a hundredth of all.
+// Over 10,000 requests, hosts that differ only in weight each get their share, within a fifth of
+// that share or a hundredth of all requests.
 func TestWeights(t *testing.T) {
 	for _, weights := range [][]float64{{5, 1, 1}, {10, 5, 3, 2}, {100, 1}} {
 		list := hosts(len(weights))
@@ -123,20 +124,20 @@
 			list[i].Weight = w
 			sum += w
 		}
-		g := start(t, basic(), list...)
-		at := make([]int, len(weights))
+		g := start(t, testSettings(), list...)
+		counts := make([]int, len(weights))
 		rng := rand.New(rand.NewPCG(1, 2))
 		for i := range 13_000 {
 			id := g.request(0, time.Second)
-			if i == 3000 { // what is not known of hosts that have given no sample is behind it
-				clear(at)
+			if i == 3000 { // the phase in which hosts have no samples is over
+				clear(counts)
 			}
-			at[g.acts[0].Host-1]++
+			counts[g.acts[0].Host-1]++
 			g.advance(10 * ms)
 			g.outcome(id, 0, OK, Time(rng.ExpFloat64()*float64(5*ms)))
 		}
 		for i, w := range weights {
-			share, want := float64(at[i])/10_000, w/sum
+			share, want := float64(counts[i])/10_000, w/sum
 			if diff := max(share-want, want-share); diff > max(want/5, 0.01) {
 				t.Errorf("weights %v: host %d got %.3f, want %.3f", weights, i+1, share, want)
 			}
@@ -144,10 +145,10 @@
 	}
 }
 
-// A host that has too much to do loses work for as long as it says, up to a bound, and what
-// it answered may have run.
+// A host that answers Busy gets fewer requests for as long as its hint says, up to a bound, and a
+// request that it answered so counts as one that may have run.
 func TestBusyAndHints(t *testing.T) {
-	g := start(t, basic(), hosts(2)...)
+	g := start(t, testSettings(), hosts(2)...)
 	for range 20 {
 		id := g.request(0, time.Second)
 		g.advance(5 * ms)
@@ -166,22 +167,22 @@
 			h = x
 		}
 	}
-	if most := (maxRetryHintAims * g.b.shortestAim).Seconds(); h.rtt < most*0.99 || h.rtt > most {
-		t.Errorf("the estimate is %v s, want the bound of the hint %v", h.rtt, most)
+	if bound := (maxRetryHintAims * g.b.shortestAim).Seconds(); h.rtt < bound*0.99 || h.rtt > bound {
+		t.Errorf("the estimate is %v s, want the bound of the hint %v", h.rtt, bound)
 	}
-	at := 0
+	sends := 0
 	for range 100 {
 		id := g.request(0, time.Second)
 		if g.acts[0].Host == first {
-			at++
+			sends++
 		}
 		g.advance(5 * ms)
 		g.outcome(id, 0, OK, 5*ms)
 	}
-	if at > 2 {
-		t.Errorf("%d of 100 requests go to a host that wants to be left alone", at)
+	if sends > 2 {
+		t.Errorf("%d of 100 requests go to a host that asked for a delay", sends)
 	}
 	if h.ejections > 0 {
-		t.Error("it is ejected for it")
+		t.Error("the host is ejected for a Busy answer")
 	}
 }
--- a/repeats_test.go
+++ b/repeats_test.go
@@ -7,21 +7,21 @@
 )
 
 func TestWhatFollowsAnAttempt(t *testing.T) {
-	again := []ActionKind{Send}
+	retry := []ActionKind{Send}
 	tests := []struct {
 		class  int
 		result Result
 		want   []ActionKind
 	}{
 		{0, OK, nil},
-		{0, Failed, again}, {0, TimedOut, again}, {0, Reset, again}, {0, Full, again}, {0, ConnectFailed, again},
-		{1, Failed, again}, {1, ConnectFailed, again},
+		{0, Failed, retry}, {0, TimedOut, retry}, {0, Reset, retry}, {0, Full, retry}, {0, ConnectFailed, retry},
+		{1, Failed, retry}, {1, ConnectFailed, retry},
 		{2, Failed, []ActionKind{Fail}}, {2, TimedOut, []ActionKind{Fail}}, {2, Reset, []ActionKind{Fail}},
 		{2, Canceled, []ActionKind{Fail}},
-		{2, Full, again}, {2, ConnectFailed, again}, {2, NotSent, again},
+		{2, Full, retry}, {2, ConnectFailed, retry}, {2, NotSent, retry},
 	}
 	for _, tt := range tests {
-		g := start(t, basic(), hosts(2)...)
+		g := start(t, testSettings(), hosts(2)...)
 		id := g.request(tt.class, time.Second)
 		g.advance(20 * ms)
 		g.outcome(id, 0, tt.result, 20*ms)
@@ -41,38 +41,38 @@
 		GroupZone: func(a, b Host) bool { return a.Zone == b.Zone },
 		GroupCell: func(a, b Host) bool { return a.Cell == b.Cell },
 	} {
-		set := basic()
+		set := testSettings()
 		set.Classes[1].Group = group
 		list := []Host{{ID: 1, Zone: 0, Cell: 0}, {ID: 2, Zone: 0, Cell: 1}, {ID: 3, Zone: 1, Cell: 2},
 			{ID: 4, Zone: 0, Cell: 0}, {ID: 5, Zone: 0, Cell: 1}, {ID: 6, Zone: 1, Cell: 2}}
-		other := 0
+		round := 0
 		for range 30 {
 			g := start(t, set, list...)
-			g.b.rng += uint64(other)*977 + 1
+			g.b.rng += uint64(round)*977 + 1
 			id := g.request(1, time.Second)
-			first := list[g.sole(Send).Host-1]
+			first := list[g.onlyAction(Send).Host-1]
 			g.outcome(id, 0, Failed, ms)
-			second := list[g.sole(Send).Host-1]
+			second := list[g.onlyAction(Send).Host-1]
 			if !same(first, second) {
-				t.Fatalf("group %d: sent to %+v, then to %+v", group, first, second)
+				t.Fatalf("group %d: sent to %+v, then to %+v, which is not in the same group", group, first, second)
 			}
-			other++
+			round++
 		}
 	}
 }
 
 func TestKeyedIsNotRepeatedAfterItsWindow(t *testing.T) {
-	g := start(t, basic(), hosts(2)...)
+	g := start(t, testSettings(), hosts(2)...)
 	id := g.request(1, time.Second)
 	g.advance(599 * ms)
 	g.outcome(id, 0, Failed, 599*ms)
-	g.sole(Fail)
+	g.onlyAction(Fail)
 }
 
 func TestKeyedWhoseGroupIsGoneFails(t *testing.T) {
-	g := start(t, basic(), hosts(4)...)
+	g := start(t, testSettings(), hosts(4)...)
 	id := g.request(1, time.Second)
-	cell := int(g.sole(Send).Host-1) / 2
+	cell := int(g.onlyAction(Send).Host-1) / 2
 	var left []Host
 	for _, h := range hosts(4) {
 		if h.Cell != cell {
@@ -88,39 +88,40 @@
 }
 
 func TestAttemptsAreBounded(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.MaxAttempts = 3
 	g := start(t, set, hosts(8)...)
 	id := g.request(2, time.Second)
 	for n := range 3 {
-		g.sole(Send)
+		g.onlyAction(Send)
 		g.outcome(id, n, Full, ms)
 	}
-	g.sole(Refuse)
+	g.onlyAction(Refuse)
 }
 
-// A keyed request that may have run is refused only while hosts drop what its client sends again.
+// A keyed request that may have run is refused only as long as the hosts would deduplicate a retry by
+// the client.
 func TestKeyedIsRefusedWithinItsWindow(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration // from the first attempt to the answer
 		want  ActionKind
 	}{{100 * ms, Refuse}, {300 * ms, Refuse}, {301 * ms, Fail}, {599 * ms, Fail}} {
-		set := basic()
+		set := testSettings()
 		set.Classes[1].Group, set.MaxAttempts, set.MaxRetryAfter = GroupAll, 1, 300*ms
 		g := start(t, set, hosts(2)...)
 		id := g.request(1, time.Second)
 		g.advance(c.after)
 		g.outcome(id, 0, Failed, c.after)
-		g.sole(c.want)
+		g.onlyAction(c.want)
 	}
 }
 
 func TestStreamBelongsToItsAttempt(t *testing.T) {
-	g := start(t, basic(), hosts(2)...)
+	g := start(t, testSettings(), hosts(2)...)
 	id := g.request(0, 500*ms)
 	g.b.Started(g.now, id, 0)
 	if done := g.advance(2 * time.Second); len(done) != 0 {
-		t.Errorf("done %v past the deadline of a stream that has begun", done)
+		t.Errorf("actions %v past the deadline of a request whose stream has begun", done)
 	}
 	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Closed: true})
 	g.drain()
