--- a/balancer.go
+++ b/balancer.go
@@ -31,40 +31,35 @@
 	unknownAims     = 0.25 // RTT assumed for an unknown host: at 0 it would look idle
 	penaltyAims     = 1    // minimum RTT recorded for an error or refusal
 	penaltyRTTs     = 2    // second minimum for it, in mean RTTs of good answers
-	meanWeight      = 0.1  // weight of a sample in a moving average: about the last ten count
-
-	firstEjectionAims  = 2        // duration of the first ejection
-	maxDoublings       = 5        // maximum number of doublings of the duration of an ejection
-	minErrorGap        = 30       // good answers between two errors from which on none ejects the host
-	safeProbeAims      = 8        // time after an ejection in which only retryable requests probe
-	firstReconnectAims = 1.0 / 8  // first delay of a probe while all hosts refuse connections
-	maxReconnectAims   = 16       // maximum of that delay: such a probe sends no request
-	maxRetryHintAims   = 64       // maximum Retry-After hint of a host that is accepted
-	sweepAims          = 1.0 / 16 // interval of the checks of queues and silent hosts
-	silenceSigmas      = 3        // deviations above the mean RTT after which a host counts as silent
-	ownAnswerAims      = 2        // time after an own answer in which refusals met by peers are ignored
+
+	firstEjectionAims  = 2       // duration of the first ejection
+	minErrorGap        = 30      // good answers between two errors from which on none ejects the host
+	safeProbeAims      = 8       // time after an ejection in which only retryable requests probe
+	weightedLoadRatio  = 2       // by weights: the first drawn is used up to this x the second's load
+	maxRetryHintAims   = 64      // maximum Retry-After hint of a host that is accepted
+	maxDoublings       = 5       // maximum number of doublings of the duration of an ejection
+	firstReconnectAims = 1.0 / 8 // first delay of a probe while all hosts refuse connections
+	maxReconnectAims   = 16      // maximum of that delay: such a probe sends no request
 
 	coldBudgetSigmas  = 3.0     // standard deviations that sends stay below the budget of a cold host
 	coldCreditSigmas  = 4.0     // standard deviations of the fleet's sends that unused credit may add
 	rateWindows       = 4       // averaging time of rates, in overload windows (Settings.Fall)
-	minRateFraction   = 1.0 / 8 // minimum fraction of it that a short history counts as
+	minRateFraction   = 1.0 / 8 // minimum fraction of that time that a short history counts as
 	quotaBurstSeconds = 1.0     // seconds of its quota that a tenant may accumulate
-	maxNewStartAge    = 600e9   // maximum age of a start first reported by a list change, in ns
-	maxStartAhead     = 60e9    // maximum time of a start in the future, in ns: clocks differ
-	listRetryDelay    = 0.8e9   // maximum mean delay of the first retry of a lost list, in ns; then x2
-
-	limitRTTAims     = 0.375 // target mean RTT of the in-flight limit of a host
-	recentRTTAims    = 0.5   // averaging time of its recent RTT: shorter than an overload takes
-	minHostLimit     = 2     // minimum in-flight limit: one attempt runs while the next arrives
-	limitGrowth      = 0.3   // attempts added by the fleet per round trip while requests wait
-	initialHostLimit = 4     // in-flight limit of a new host for the whole fleet, in attempts
-	stallTimeDivisor = 8     // 1/8 of an attempt's time counts even if the gateway was stalled
-	streamLoad       = 0.125 // load of a streaming body, in attempts: it mostly waits for its client
-	suspicionLoad    = 3     // multiple of its RTT added to a host at full suspicion (1) by peers
-
-	maxQueueShare     = 0.2  // maximum time that a request waits for a host, as a share of its aim
-	clientRetryWorth  = 0.5  // factor on the worth of a client retry: it may come too late
-	arrivalWeight     = 0.02 // weight of an arrival in the shares of the queues: about 50 count
+
+	sweepAims        = 1.0 / 16 // interval of the checks of queues and silent hosts
+	limitRTTAims     = 0.375    // target mean RTT of the in-flight limit of a host
+	recentRTTAims    = 0.5      // averaging time of the recent RTT of a host: shorter than an overload takes
+	minHostLimit     = 2        // minimum in-flight limit of a host: one attempt runs while the next arrives
+	limitGrowth      = 0.3      // attempts added by the fleet per round trip while requests wait
+	initialHostLimit = 4        // in-flight limit of a new host for the whole fleet, in attempts
+
+	maxQueueShare    = 0.2  // maximum time that a request waits for a host, as a share of its aim
+	silenceSigmas    = 3    // deviations above the mean RTT after which a host counts as silent
+	clientRetryWorth = 0.5  // factor on the worth of a client retry: it may come too late
+	arrivalWeight    = 0.02 // weight of an arrival in the shares of the queues: about 50 count
+	meanWeight       = 0.1  // weight of a sample in a moving average: about the last ten count
+
 	shedFromLateness  = 0.38 // mean RTT in aims above which requests are shed: most are in time
 	shedUntilLateness = 0.25 // mean RTT in aims below which shedding stops: the delay is over
 	priorLateness     = 0.06 // mean RTT in aims that is assumed without evidence
@@ -75,15 +70,23 @@
 	admitStep         = 0.1  // share of all that one answer would admit again at a mean RTT of 0
 	shedAboveSharers  = 3    // instances per host above which the in-flight limit leaves each < 1
 	minAdmitted       = 0.02 // minimum admitted share: answers must show when the overload ends
-	marginSteps       = 2    // minimum time from an answer to the deadline, in Settings.Step
-
-	subsetSharers       = 4   // target instances per host: connections and handshakes load it
-	minSubset           = 4   // minimum hosts in a subset: a choice of two while some are ejected
-	hostsPerInFlight    = 2.5 // hosts to use per request in flight when none is overloaded
-	minDrawSubset       = 32  // subset size from which on hosts are drawn, not examined in turn
-	maxDraws            = 12  // maximum draws; with half of the hosts ejected 99.7% succeed
-	weightedLoadRatio   = 2   // by weights: the first drawn is used up to this x the second's load
-	ignorePeerLoadEvery = 8   // one of so many requests ignores the in-flight attempts of peers
+
+	subsetSharers    = 4   // target instances per host: connections and handshakes load it
+	minSubset        = 4   // minimum hosts in a subset: a choice of two while some are ejected
+	hostsPerInFlight = 2.5 // hosts to use per request in flight when none is overloaded
+	minDrawSubset    = 32  // subset size from which on hosts are drawn, not examined in turn
+	maxDraws         = 12  // maximum draws; with half of the hosts ejected 99.7% succeed
+
+	stallTimeDivisor    = 8     // 1/8 of an attempt's time counts even if the gateway was stalled
+	streamLoad          = 0.125 // load of a streaming body, in attempts: it mostly waits for its client
+	suspicionLoad       = 3     // multiple of its RTT added to a host at full suspicion (1) by peers
+	ownAnswerAims       = 2     // time after an own answer in which refusals met by peers are ignored
+	ignorePeerLoadEvery = 8     // one of so many requests ignores the in-flight attempts of peers
+
+	marginSteps    = 2     // minimum time from an answer to the deadline, in Settings.Step
+	maxNewStartAge = 600e9 // maximum age of a start first reported by a list change, in ns
+	maxStartAhead  = 60e9  // maximum time of a start in the future, in ns: clocks differ
+	listRetryDelay = 0.8e9 // maximum mean delay of the first retry of a lost list, in ns; then x2
 )
 
 const (
@@ -91,7 +94,7 @@
 	tokenWatch             // send a watch to discovery
 	tokenAnswer            // give a request its final answer before its deadline
 
-	tokenShift = 56 // bits below the kind in a token; they hold the request ID
+	tokenShift = 56 // a token is its kind, shifted left by so many bits, plus the request ID
 )
 
 // New returns a Balancer for the settings, or an error if the settings are not valid.
@@ -139,7 +142,7 @@
 		class, bits int
 		worth       float64
 	}
-	var queues []waitingQueue
+	var ordered []waitingQueue
 	for i, c := range b.set.Classes {
 		for bits := range 4 {
 			worth := c.Worth
@@ -149,17 +152,17 @@
 			if bits&clientRetry != 0 {
 				worth *= clientRetryWorth
 			}
-			queues = append(queues, waitingQueue{i, bits, worth})
+			ordered = append(ordered, waitingQueue{i, bits, worth})
 		}
 	}
-	slices.SortStableFunc(queues, func(x, y waitingQueue) int {
+	slices.SortStableFunc(ordered, func(x, y waitingQueue) int {
 		aimX, aimY := b.set.Classes[x.class].Aim, b.set.Classes[y.class].Aim
 		return cmp.Or(cmp.Compare(y.worth, x.worth), cmp.Compare(aimX, aimY))
 	})
 	b.queueOf = make([][4]int, len(b.set.Classes))
-	b.queues = make([]list[request], len(queues))
-	b.arrivals = make([]float64, len(queues))
-	for k, q := range queues {
+	b.queues = make([]list[request], len(ordered))
+	b.arrivals = make([]float64, len(ordered))
+	for k, q := range ordered {
 		b.queueOf[q.class][q.bits] = k
 	}
 }
@@ -206,7 +209,7 @@
 	defer b.rebuildNearSubset()
 	b.updatePositions()
 	b.warmHosts, b.backups, b.weighted, b.nextWarmAt = 0, 0, false, 0
-	nearHosts := b.nearScratch[:0]
+	nearHosts := b.nearHosts[:0]
 	hostsInZone := map[int]float64{} // number of hosts per zone
 	for _, h := range b.byPosition {
 		hostsInZone[h.Zone]++
@@ -232,7 +235,7 @@
 			nearHosts = append(nearHosts, h)
 		}
 	}
-	b.nearScratch = nearHosts
+	b.nearHosts = nearHosts
 	b.ring = b.appendRotated(b.ring[:0], nearHosts)
 	b.ring = b.ring[:min(len(nearHosts), b.subsetSize/2)]
 	first, total := len(b.ring), len(b.byPosition)
@@ -548,7 +551,7 @@
 	a := r.attempts[o.Attempt]
 	a.ended, a.result = true, o.Result
 	a.hint = min(o.After, maxRetryHintAims*b.shortestAim).Seconds()
-	r.inFlight--
+	r.openAttempts--
 	a.leaveHost()
 	if a.responseStreaming && o.Result == Reset { // the connection broke within the body
 		b.recordRTT(a.host, b.penalty())
@@ -665,14 +668,14 @@
 	if h := b.drawRandom(r); h != nil {
 		return h
 	}
-	atLimit := b.collectReady(r, false)
-	if len(b.readyScratch)+atLimit == 0 && b.backups > 0 {
-		atLimit = b.collectReady(r, true) // no other host can take the request
+	limited := b.collectReady(r, false)
+	if len(b.readyScratch)+limited == 0 && b.backups > 0 {
+		limited = b.collectReady(r, true) // no other host can take the request
 	}
 	// Fail open: if most hosts are ejected, the cause is more likely the network path or the load
 	// than every host, and the few others must not get all requests. Hosts that refuse connections
 	// are excluded.
-	if len(b.ejectedScratch) > len(b.readyScratch)+atLimit {
+	if len(b.ejectedScratch) > len(b.readyScratch)+limited {
 		b.log(logFailOpen, "%d hosts are ejected, most that are near: using them all the same",
 			len(b.ejectedScratch))
 		for _, h := range b.ejectedScratch[:min(len(b.ejectedScratch), b.subsetSize)] {
@@ -682,7 +685,7 @@
 		}
 	}
 	n := len(b.readyScratch)
-	if n == 0 && atLimit == 0 {
+	if n == 0 && limited == 0 {
 		return b.lastResort(r)
 	}
 	if n == 0 {
@@ -741,7 +744,7 @@
 
 // collectReady collects the ready hosts and the ejected hosts of the subset, considering either only
 // backup hosts or only the others. It returns how many more hosts are at their in-flight limit.
-func (b *Balancer) collectReady(r *request, backups bool) (atLimit int) {
+func (b *Balancer) collectReady(r *request, backups bool) (limited int) {
 	b.readyScratch, b.ejectedScratch = b.readyScratch[:0], b.ejectedScratch[:0]
 	for i, h := range b.ring {
 		if h.Backup != backups {
@@ -749,7 +752,7 @@
 		}
 		// The loop ends with the subset, however few of its hosts are usable: if each instance
 		// searched on, those few would get an attempt of every instance, and all would be late.
-		if n := len(b.readyScratch) + atLimit; n == b.reach || n > 1 && i >= b.reach {
+		if n := len(b.readyScratch) + limited; n == b.reach || n > 1 && i >= b.reach {
 			break
 		}
 		switch {
@@ -760,12 +763,12 @@
 		case b.coldBlocked(h):
 		case h.cold && !h.usableCold: // hosts further on have other sharers
 		case b.atLimit(h):
-			atLimit++
+			limited++
 		default:
 			b.readyScratch = append(b.readyScratch, h)
 		}
 	}
-	return atLimit
+	return limited
 }
 
 // lessLoaded returns the less loaded of two hosts; either may be nil.
@@ -821,8 +824,8 @@
 		rtt += b.set.CrossPrice * b.shortestAim.Seconds()
 	}
 	rtt *= 1 + suspicionLoad*b.unlessExpired(h.suspicion, h.suspicionUntil)
-	others := b.peerLoadFactor * b.unlessExpired(h.peerLoad, h.peerLoadUntil)
-	return rtt * ((float64(h.pending)+others+streamLoad*float64(h.streams))/h.weight() + 1)
+	peerLoad := b.peerLoadFactor * b.unlessExpired(h.peerLoad, h.peerLoadUntil)
+	return rtt * ((float64(h.pending)+peerLoad+streamLoad*float64(h.streams))/h.weight() + 1)
 }
 
 // decayedRTT returns the RTT estimate in seconds, decayed toward zero so that a host that was penalized
@@ -854,8 +857,8 @@
 func (b *Balancer) recordRelativeTime(h *host, rtt, classMean float64) {
 	if rtt > 0 && classMean > 0 {
 		x := math.Log(rtt / classMean)
-		b.relativeTimes.Add(x, 1, maxSampleWeight)
-		x -= b.relativeTimes.Sum / b.relativeTimes.N
+		b.allRelativeTimes.Add(x, 1, maxSampleWeight)
+		x -= b.allRelativeTimes.Sum / b.allRelativeTimes.N
 		h.relativeTimes.Fade(b.now, b.estimateDecay())
 		b.noise.Add(x-h.relativeTimes.Toward(0, 1), 1, maxSampleWeight)
 		h.relativeTimes.Add(x, 1, maxSampleWeight)
@@ -962,12 +965,12 @@
 	b.now = now
 	backups := 0.0
 	for _, h := range b.hosts {
-		switch limit := max(1, h.limit/b.sharers); {
+		switch share := max(1, h.limit/b.sharers); {
 		case h.State != Ready || h.ejections > 0 && b.now < h.ejectUntil:
 		case h.Backup:
-			backups += limit
+			backups += share
 		default:
-			n += limit
+			n += share
 		}
 	}
 	return cmp.Or(n, backups)
@@ -1015,11 +1018,11 @@
 	a.probe = h.ejections > 0
 	h.probing = h.probing || a.probe
 	r.attempts = append(r.attempts, a)
-	r.inFlight++
+	r.openAttempts++
 	h.pending++
 	h.lastRound = b.round
 	a.link.item = a
-	h.inFlight.pushBack(&a.link)
+	h.pendingAttempts.pushBack(&a.link)
 	h.credit = min(h.credit-1, 1) // used only while the host is cold
 	b.addAction(Action{Kind: Send, Request: r.ID, Host: h.ID})
 	b.inFlight++
@@ -1116,7 +1119,7 @@
 		b.release(r)
 	case closed || a.result == OK && r.committed:
 		b.end(r)
-	case r.inFlight > 0 || r.queued:
+	case r.openAttempts > 0 || r.queued:
 	case b.mayRetry(r):
 		b.sendOrQueue(r, true)
 	default:
@@ -1220,7 +1223,7 @@
 	b.inFlight = 0
 	for _, h := range b.hosts {
 		b.inFlight += h.pending
-		n := h.inFlight.head // the oldest attempt
+		n := h.pendingAttempts.head // the oldest attempt
 		if n == nil || n.item.sent < h.answeredAt ||
 			b.countedTime(n.item, b.now-n.item.sent) < b.silenceTimeout(n.item.req) {
 			continue
@@ -1237,7 +1240,7 @@
 		return
 	}
 	for _, h := range b.hosts {
-		for n := h.inFlight.head; n != nil; n = n.next {
+		for n := h.pendingAttempts.head; n != nil; n = n.next {
 			r := n.item.req
 			if !r.done && !r.committed && r.class.Effect != Unsafe && b.now-r.arrived > r.class.Aim {
 				b.recordOverdue(r)
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -369,7 +369,7 @@
 	id := g.request(0, 500*ms)
 	g.b.RequestBodyPending(g.now, id, 0)
 	h := g.b.hosts[0]
-	if h.pending != 0 || h.streams != 1 || h.inFlight.head != nil {
+	if h.pending != 0 || h.streams != 1 || h.pendingAttempts.head != nil {
 		t.Errorf("fed: %d attempts and %d streams at the host", h.pending, h.streams)
 	}
 	if done := g.advance(time.Minute); len(done) != 0 {
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -120,7 +120,7 @@
 		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.reqs), h.b.queued)
 	}
 	for _, x := range h.b.hosts {
-		if x.pending != 0 || x.inFlight.head != nil {
+		if x.pending != 0 || x.pendingAttempts.head != nil {
 			h.Fatalf("host %d has %d attempts after all have ended", x.ID, x.pending)
 		}
 	}
--- a/memory.go
+++ b/memory.go
@@ -97,7 +97,7 @@
 
 // Memory is what has been learned up to now.
 func (b *Balancer) Memory(now Time) Memory {
-	m := Memory{Version: MemoryVersion, Admit: b.admitted, Late: evidenceMemory(&b.relativeRTT, now), Works: evidenceMemory(&b.relativeTimes, now), Worth: b.meanWorth.memory(now), Gap: b.sampleGap.memory(now),
+	m := Memory{Version: MemoryVersion, Admit: b.admitted, Late: evidenceMemory(&b.relativeRTT, now), Works: evidenceMemory(&b.allRelativeTimes, now), Worth: b.meanWorth.memory(now), Gap: b.sampleGap.memory(now),
 		All: b.meanRTT.memory(now), Served: b.servedRate, Warm: b.warmHosts}
 	if b.servedAt > 0 {
 		m.ServedAge, m.ServedFor = now-b.servedAt, now-b.servedFrom
@@ -136,7 +136,7 @@
 	if m.Admit > 0 && m.Admit <= 1 {
 		b.admitted = m.Admit
 	}
-	b.relativeRTT, b.relativeTimes = m.Late.mean(now, 1), m.Works.mean(now, mostTimes)
+	b.relativeRTT, b.allRelativeTimes = m.Late.mean(now, 1), m.Works.mean(now, mostTimes)
 	b.meanWorth, b.sampleGap, b.meanRTT = m.Worth.mean(now), m.Gap.mean(now), m.All.mean(now)
 	for i := range m.Classes[:min(len(m.Classes), len(b.classRTT))] {
 		b.classRTT[i] = m.Classes[i].mean(now)
--- a/state.go
+++ b/state.go
@@ -41,14 +41,14 @@
 	round                  uint64          // number of the selection round through the hosts
 	pickCount              uint64          // calls of pick
 	peerLoadFactor         float64         // 1 if the pick in progress counts the attempts of peers, else 0
-	noise                  evidence.Mean   // logarithms of relative times less the mean of their host
-	relativeTimes          evidence.Mean   // logarithms of time / mean time of the class, of all hosts
+	noise                  evidence.Mean   // relative times less the mean of their host
+	allRelativeTimes       evidence.Mean   // logarithms of time / mean time of the class, of all hosts
 	sampleGap              mean            // seconds between samples of a host
 	classRTT               []mean          // RTT of good answers by class, in seconds
 	meanRTT                mean            // RTT of good answers, in seconds
-	kindTimes              []evidence.Mean // logarithms of relative times by kind, of warm hosts
+	kindTimes              []evidence.Mean // the relative times of hosts by kind of host, of warm hosts only
 	nextWarmAt             Time            // when the next cold host is warm; 0: no host is cold
-	warmHosts              int             // warm hosts listed
+	warmHosts              int             // ready hosts that are warm, ejected ones included
 	servedRate             float64         // good answers per second of one warm host to the fleet, as of servedAt
 	servedAt               Time
 	servedFrom             Time     // send time of the first answer counted in servedRate
@@ -56,9 +56,9 @@
 	quotas                 []bucket // by tenant
 	sweepAt                Time     // when the next sweep is due; 0: none is scheduled
 	byPosition             []*host  // ready hosts in the order of their positions
-	nearScratch            []*host  // scratch of rebuildRing
+	nearHosts              []*host  // scratch of rebuildRing: ready hosts in the own zone
 	ring                   []*host  // ready hosts in the order of preference of this instance
-	backups                int      // ready backup hosts
+	backups                int      // ready hosts that are used only where no other can be
 	weighted               bool     // some host has a weight other than 1
 	nearSubset             []*host  // hosts of the subset in the own zone, if those are preferred
 	fleetInfo              Fleet    // instances that share the hosts
@@ -74,7 +74,7 @@
 	freeRequests           []*request // pool
 	freeAttempts           []*attempt // pool
 
-	watching   bool // the last watch delivered a list
+	watching   bool // host list and changes arrive
 	watchAt    Time // when the next watch is due
 	watchFails int  // failed watches in a row
 	logLines   [logKinds]logLine
@@ -83,28 +83,28 @@
 // host is the state of one host as this instance knows it.
 type host struct {
 	Host
-	listedState   HostState // state in the host list; State also reflects operators' orders
-	unsampled     bool      // no RTT sample yet
-	position      uint64    // on the ring
-	usableCold    bool      // this instance may use the host while it is cold
-	positioned    bool      // the host is in Balancer.byPosition
-	marked        bool      // scratch of without
-	rtt           float64   // peak EWMA of the RTT in seconds, as of rttAt
-	rttAt         Time
-	pending       int           // attempts in flight whose body is not streaming
-	streams       int           // attempts whose request or answer body is streaming
-	inFlight      list[attempt] // the pending attempts in the order sent
-	answeredAt    Time          // last answer of any kind
-	lastRound     uint64        // selection round in which the host was last used
-	relativeTimes evidence.Mean // logarithms of time / mean time of the class
-	penalized     bool          // rtt holds a penalty that has not decayed yet
-	limit         float64       // in-flight limit, in attempts of all sharers
-	recentRTT     mean          // RTT of answers and time-outs in seconds, not decayed
-	limitCutAt    Time          // last cut of limit
-
-	ejections         int  // since the last answer that ended an ejection
-	down              bool // the last connection attempt failed
-	answersSinceError int  // good answers
+	listedState     HostState // state in the host list; State also reflects operators' orders
+	unsampled       bool      // no RTT sample yet
+	position        uint64    // on the ring
+	usableCold      bool      // this instance may use the host while it is cold
+	positioned      bool      // the host is in Balancer.byPosition
+	marked          bool      // scratch of without
+	rtt             float64   // peak EWMA of the RTT in seconds, as of rttAt
+	rttAt           Time
+	pending         int           // attempts in flight whose body is not streaming
+	streams         int           // attempts whose request or answer body is streaming
+	pendingAttempts list[attempt] // the pending attempts in the order sent
+	answeredAt      Time          // last answer of any kind
+	lastRound       uint64        // selection round in which the host was last used
+	relativeTimes   evidence.Mean // logarithms of time / mean time of the class, less the mean of all hosts
+	penalized       bool          // rtt holds a penalty that has not decayed yet
+	limit           float64       // in-flight limit, in attempts of all sharers
+	recentRTT       mean          // RTT of answers and time-outs in seconds, not decayed
+	limitCutAt      Time          // last cut of limit
+
+	ejections         int  // in a row, without an answer in between
+	down              bool // it refused connections when last tried, here or by peers
+	answersSinceError int  // good answers since the last error
 	ejectUntil        Time
 	probing           bool // a probe of the host is in flight
 	connectFailures   int  // failed connections in a row
@@ -131,7 +131,7 @@
 func (a *attempt) startStreaming() {
 	if !a.streaming {
 		a.streaming = true
-		a.host.inFlight.remove(&a.link)
+		a.host.pendingAttempts.remove(&a.link)
 		a.host.pending--
 		a.host.streams++
 	}
@@ -140,7 +140,7 @@
 // stopStreaming undoes startStreaming, at the end of the list of pending attempts.
 func (a *attempt) stopStreaming() {
 	a.streaming = false
-	a.host.inFlight.pushBack(&a.link)
+	a.host.pendingAttempts.pushBack(&a.link)
 	a.host.pending++
 	a.host.streams--
 }
@@ -151,7 +151,7 @@
 		a.host.streams--
 	} else {
 		a.host.pending--
-		a.host.inFlight.remove(&a.link)
+		a.host.pendingAttempts.remove(&a.link)
 	}
 }
 
@@ -262,7 +262,7 @@
 	deadline      Time
 	queueDeadline Time // refused if still queued then: too late for an answer within the aim
 	queue         int  // index in Balancer.queues
-	inFlight      int  // attempts that have not ended
+	openAttempts  int  // attempts in flight
 	done          bool // it has its answer or needs none
 	committed     bool // an answer stream has begun; no other attempt may answer
 	bodyPending   bool // its body is still arriving, for the attempt in flight
@@ -284,7 +284,7 @@
 	probe             bool          // sent while the host had failed
 	streaming         bool          // counted in host.streams: its duration says nothing about the host
 	responseStreaming bool          // the body of its answer is streaming
-	link              node[attempt] // in host.inFlight
+	link              node[attempt] // in host.pendingAttempts
 }
 
 // mean is a moving average with the mean absolute deviation; the first sample sets it.
@@ -461,7 +461,7 @@
 
 // release returns a request that is done to the pool once its last attempt has ended.
 func (b *Balancer) release(r *request) {
-	if !r.done || r.inFlight > 0 {
+	if !r.done || r.openAttempts > 0 {
 		return
 	}
 	delete(b.reqs, r.ID)
