--- a/balancer.go
+++ b/balancer.go
@@ -102,7 +102,7 @@
 	if err := check(&set); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, rng: seed, byID: map[HostID]*host{}, reqs: map[RequestID]*request{}}
+	b := &Balancer{set: set, rng: seed, byID: map[HostID]*host{}, requests: map[RequestID]*request{}}
 	b.shortestAim = set.Classes[0].Aim
 	for _, c := range set.Classes {
 		b.shortestAim, b.longestAim = min(b.shortestAim, c.Aim), max(b.longestAim, c.Aim)
@@ -122,13 +122,14 @@
 // number of instances sets the size of the subset of this instance, so that every host is used by one;
 // the maximum divides the budgets of cold hosts and the quotas of tenants, so that all instances
 // together stay within them. Values that are not valid are ignored.
-func (b *Balancer) Fleet(now Time, k Fleet) {
-	if b.now = now; k.Least < 1 || k.Most < k.Least || !(k.Place >= 0 && k.Place < 1) || k == b.fleetInfo {
+func (b *Balancer) Fleet(now Time, fleet Fleet) {
+	if b.now = now; fleet.Least < 1 || fleet.Most < fleet.Least || !(fleet.Place >= 0 && fleet.Place < 1) ||
+		fleet == b.fleetInfo {
 		return
 	}
-	b.fleetInfo = k
+	b.fleetInfo = fleet
 	for i := range b.quotas {
-		b.quotas[i].rate = b.set.Tenants[i].Quota / float64(k.Most)
+		b.quotas[i].rate = b.set.Tenants[i].Quota / float64(fleet.Most)
 	}
 	b.rebuildRing()
 	b.serveQueues()
@@ -191,8 +192,8 @@
 			h.State = Removed
 		}
 	}
-	for _, e := range list {
-		b.updateHost(e, kind)
+	for _, entry := range list {
+		b.updateHost(entry, kind)
 	}
 	b.forgetRemoved()
 	b.rebuildRing()
@@ -200,7 +201,7 @@
 }
 
 // rebuildRing arranges the hosts in a ring of pseudo-random order that begins at the position of this
-// instance; the subset is the first of them that are usable. One host more or less changes a subset
+// instance; the subset is the first of them. One host more or less changes a subset
 // by at most one host. Subsets save hosts a connection from every instance and give an instance
 // enough samples of each host. They matter where more than subsetSharers instances would share a
 // host. Half of a subset is from the own zone, because crossing zones costs; the other half is from
@@ -336,19 +337,19 @@
 // peers met eject it as an own one would, until an own probe succeeds, or for as long as peers probe it.
 // The ejection applies only if the host has not answered this instance recently, and to at most half of
 // the hosts.
-func (b *Balancer) HostHealth(now Time, k HostHealth) {
+func (b *Balancer) HostHealth(now Time, health HostHealth) {
 	b.now = now
-	h := b.byID[k.Host]
+	h := b.byID[health.Host]
 	if h == nil {
 		return
 	}
-	h.suspicion, h.suspicionUntil = min(max(k.Doubt, 0), 1), k.Until
-	if h.peersProbe && !(k.Down && k.Wait) { // peers got answers: all may probe, but not all at once
+	h.suspicion, h.suspicionUntil = min(max(health.Doubt, 0), 1), health.Until
+	if h.peersProbe && !(health.Down && health.Wait) { // peers got answers: all may probe, spread out
 		h.peersProbe, h.ejectUntil = false, min(h.ejectUntil,
 			now+Time(ownAnswerAims*float64(b.shortestAim)*b.float()))
 	}
 	switch {
-	case !k.Down || now >= k.Until || now-h.answeredAt < ownAnswerAims*b.shortestAim:
+	case !health.Down || now >= health.Until || now-h.answeredAt < ownAnswerAims*b.shortestAim:
 		return
 	case h.ejections == 0 && 2*(b.ejectedByPeersCount()+1) > len(b.hosts):
 		return
@@ -356,17 +357,17 @@
 		b.eject(h, "others are refused")
 		h.down, h.ejectedByPeers = true, true
 	}
-	if k.Wait {
-		h.ejectUntil, h.peersProbe = max(h.ejectUntil, k.Until), true
+	if health.Wait {
+		h.ejectUntil, h.peersProbe = max(h.ejectUntil, health.Until), true
 	}
 }
 
 // PeerLoad reports the in-flight attempts of peers at a host. They count like own pending attempts when
 // two hosts are compared, except for one request in ignorePeerLoadEvery: so every host keeps that share
 // of its own requests, whatever is reported.
-func (b *Balancer) PeerLoad(now Time, k Crowd) {
-	if h := b.byID[k.Host]; h != nil {
-		h.peerLoad, h.peerLoadUntil = k.Out, k.Until
+func (b *Balancer) PeerLoad(now Time, load Crowd) {
+	if h := b.byID[load.Host]; h != nil {
+		h.peerLoad, h.peerLoadUntil = load.Out, load.Until
 	}
 }
 
@@ -387,14 +388,14 @@
 // or an unknown class is ignored.
 func (b *Balancer) Request(now Time, q Request) {
 	b.now = now
-	if b.reqs[q.ID] != nil || q.Class < 0 || q.Class >= len(b.set.Classes) {
+	if b.requests[q.ID] != nil || q.Class < 0 || q.Class >= len(b.set.Classes) {
 		return
 	}
 	r := b.newRequest()
 	r.Request, r.class, r.arrived = q, &b.set.Classes[q.Class], now
 	r.deadline = now + min(max(q.Left, 0), r.class.Deadline)
 	r.queue = b.queueOf[q.Class][b.queueBits(r)]
-	b.reqs[q.ID] = r
+	b.requests[q.ID] = r
 	b.widenReach()
 	for i := range b.arrivals {
 		b.arrivals[i] *= 1 - arrivalWeight
@@ -450,7 +451,7 @@
 }
 
 // recordLateness adjusts the admitted share by how late an answer was, as a fraction of its aim, weighted
-// by worth. A missing answer at the deadline counts as two (answers).
+// by worth. answers is the weight of the sample: a request without an answer at its deadline counts as 2.
 func (b *Balancer) recordLateness(c *Class, rtt, answers float64) {
 	b.meanWorth.add(c.Worth)
 	steps := min(maxAdmitSteps, max(1, float64(b.now-b.latenessAt)/float64(b.longestAim)*4))
@@ -491,15 +492,15 @@
 // attempt, and other attempts are canceled.
 func (b *Balancer) Started(now Time, id RequestID, n int) {
 	b.now = now
-	if r := b.reqs[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) {
+	if r := b.requests[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) {
 		r.committed = true
 		b.cancelOthers(r, n)
 	}
 }
 
 // RequestBodyPending reports that the body of the request of attempt n is still arriving from the client.
-// The host is not blamed for that time; the attempt counts as a streaming body there, and the time of
-// the request begins with the last byte.
+// That time does not count against the host, where the attempt is a streaming body meanwhile, and the
+// deadline of the request is set anew after the last byte.
 func (b *Balancer) RequestBodyPending(now Time, id RequestID, n int) {
 	b.now = now
 	if a := b.openAttempt(id, n); a != nil && !a.streaming {
@@ -518,7 +519,7 @@
 	}
 }
 
-// restartDeadline gives a request whose body has been sent its whole time, counted from now.
+// restartDeadline sets the deadline of a request whose body has been sent, counted from now.
 func (b *Balancer) restartDeadline(r *request) {
 	r.bodyPending, r.deadlineMoved, r.arrived = false, true, b.now
 	r.deadline = b.now + min(max(r.Left, 0), r.class.Deadline)
@@ -544,13 +545,13 @@
 // Outcome reports the end of an attempt. An unknown or already ended attempt is ignored.
 func (b *Balancer) Outcome(now Time, o Outcome) {
 	b.now = now
-	r := b.reqs[o.Request]
+	r := b.requests[o.Request]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
 		return
 	}
 	a := r.attempts[o.Attempt]
 	a.ended, a.result = true, o.Result
-	a.hint = min(o.After, maxRetryHintAims*b.shortestAim).Seconds()
+	a.retryAfter = min(o.After, maxRetryHintAims*b.shortestAim).Seconds()
 	r.openAttempts--
 	a.leaveHost()
 	if a.responseStreaming && o.Result == Reset { // the connection broke within the body
@@ -585,7 +586,7 @@
 // ClientGone reports that the client no longer waits for the request.
 func (b *Balancer) ClientGone(now Time, id RequestID) {
 	b.now = now
-	if r := b.reqs[id]; r != nil && !r.done {
+	if r := b.requests[id]; r != nil && !r.done {
 		b.end(r)
 	}
 }
@@ -610,7 +611,7 @@
 			b.watchIn(b.set.AskWithin)
 		}
 	case tokenAnswer:
-		r := b.reqs[RequestID(token&(1<<tokenShift-1))]
+		r := b.requests[RequestID(token&(1<<tokenShift-1))]
 		if r == nil || r.done || r.committed || r.bodyPending ||
 			r.deadlineMoved && now < r.deadline-marginSteps*b.set.Step {
 			return
@@ -635,14 +636,14 @@
 
 // sendOrQueue sends the request if a host is ready for it, and queues it otherwise. It does not overtake
 // requests that already wait.
-func (b *Balancer) sendOrQueue(r *request, again bool) {
+func (b *Balancer) sendOrQueue(r *request, retry bool) {
 	if b.queued == 0 {
 		if h := b.pick(r); h != nil {
 			b.send(r, h)
 			return
 		}
 	}
-	b.enqueue(r, again)
+	b.enqueue(r, retry)
 	b.serveQueues()
 }
 
@@ -839,8 +840,8 @@
 
 // believedRTT returns the RTT estimate in seconds, drawn toward the mean of all hosts unless there is
 // evidence that the host differs: with few samples, a peak says more about the request than about the
-// host, and equal hosts would get unequal shares. With many or clear samples the estimate counts in
-// full; so does a penalty.
+// host, and equal hosts would get unequal shares. With many samples or a clear difference the estimate
+// counts in full; so does a penalty.
 func (b *Balancer) believedRTT(h *host) float64 {
 	average := b.meanRTT.mean
 	if e := b.decayedRTT(h); !b.meanRTT.seen || h.unsampled || h.penalized && e > average {
@@ -870,8 +871,8 @@
 
 // initialRTT returns the RTT estimate in seconds of a host without samples: the mean RTT of its kind or,
 // if its kind has no samples, a fraction of the shortest aim. In a large fleet each instance rarely
-// uses each host; without it slow hosts would get an equal share there, which is more than they can
-// serve. It applies until the first sample.
+// uses each host; without this estimate slow hosts would get an equal share, which is more than they
+// can serve. It applies until the first sample.
 func (b *Balancer) initialRTT(h *host) float64 {
 	if b.kindTimes[h.Kind].N > 0 {
 		return b.meanRTT.mean * b.kindSlowdown(h)
@@ -993,8 +994,8 @@
 	return rate
 }
 
-// eject ejects a host, each time in a row for longer. It does nothing if the host is ejected now.
-func (b *Balancer) eject(h *host, why string) {
+// eject ejects a host, for longer each time in a row. It does nothing if the host is ejected now.
+func (b *Balancer) eject(h *host, reason string) {
 	if h.ejections > 0 && b.now < h.ejectUntil {
 		return
 	}
@@ -1002,7 +1003,7 @@
 	h.ejectUntil = b.now + Time(d*(0.75+0.5*b.float()))
 	h.ejections++
 	if h.ejections == 1 {
-		b.log(logEject, "host %x ejected: %s", h.ID, why)
+		b.log(logEject, "host %x ejected: %s", h.ID, reason)
 	}
 }
 
@@ -1058,11 +1059,11 @@
 		h.penalized = true
 		// Refusals are fast: by its RTT alone, a host that only refuses would get all queued requests.
 		b.adjustLimit(h, max(rtt, b.penalty()), a.sent)
-		b.recordRTT(h, max(rtt, b.penalty(), a.hint))
+		b.recordRTT(h, max(rtt, b.penalty(), a.retryAfter))
 		b.readmit(h)
 	case Failed:
 		h.penalized = true
-		b.recordRTT(h, max(rtt, b.penalty(), a.hint))
+		b.recordRTT(h, max(rtt, b.penalty(), a.retryAfter))
 		if h.answersSinceError < minErrorGap || b.sharers > shedAboveSharers { // frequent, or few samples
 			b.eject(h, "errors")
 		}
--- a/coldhost.go
+++ b/coldhost.go
@@ -39,11 +39,11 @@
 		h.creditAt, h.staggered = b.now, true
 	}
 	if dt := b.now - h.creditAt; dt > 0 {
-		n, fleet := b.coldRate(h, age)*b.set.Fall.Seconds(), max(1, h.sharers)
-		lapse := max(n*min(0.5, coldCreditSigmas/math.Sqrt(n*fleet)), 1/fleet)
-		h.credit += n * float64(dt) / float64(b.set.Fall)
-		if over := h.credit - lapse; over >= 1 {
-			h.credit = lapse + math.Mod(over, 1)
+		perWindow, fleet := b.coldRate(h, age)*b.set.Fall.Seconds(), max(1, h.sharers)
+		maxCredit := max(perWindow*min(0.5, coldCreditSigmas/math.Sqrt(perWindow*fleet)), 1/fleet)
+		h.credit += perWindow * float64(dt) / float64(b.set.Fall)
+		if excess := h.credit - maxCredit; excess >= 1 {
+			h.credit = maxCredit + math.Mod(excess, 1)
 		}
 		h.creditAt = b.now
 	}
--- a/hosthealth_test.go
+++ b/hosthealth_test.go
@@ -107,7 +107,7 @@
 	}
 }
 
-// What others have out counts as own pending does, but for one request in blindIn, and not beyond its end.
+// What others have out counts as own pending does, but for one request in ignorePeerLoadEvery, and not beyond its end.
 func TestOthersLoadCounts(t *testing.T) {
 	g := start(t, basic(), hosts(3)...)
 	took := func(HostID) time.Duration { return 10 * ms }
--- a/load_test.go
+++ b/load_test.go
@@ -40,7 +40,7 @@
 		if a.Kind != Refuse {
 			t.Fatalf("action %v", a)
 		}
-		if g.b.reqs[a.Request] != nil {
+		if g.b.requests[a.Request] != nil {
 			t.Error("refused request kept")
 		}
 	}
@@ -62,7 +62,7 @@
 			t.Errorf("action %v, want only the late request of the lower line refused", a)
 		}
 	}
-	if g.b.reqs[low] != nil || g.b.reqs[high] == nil {
+	if g.b.requests[low] != nil || g.b.requests[high] == nil {
 		t.Error("the late request waits on, or the other was refused")
 	}
 }
--- a/state.go
+++ b/state.go
@@ -24,7 +24,7 @@
 	byID        map[HostID]*host
 	banned      map[HostID]bool // taken out of service by an operator, listed or not
 	reinstated  []*host         // put back into service by an operator, no answer since
-	reqs        map[RequestID]*request
+	requests    map[RequestID]*request
 	queues      []list[request] // waiting requests, highest worth first
 	queueOf     [][4]int        // index in queues by class and queueBits
 	arrivals    []float64       // recent requests by queue, decayed by each request
@@ -277,7 +277,7 @@
 	req               *request
 	host              *host
 	sent              Time    // or when the request body was sent
-	hint              float64 // seconds after which the host wants to be retried; 0: no hint
+	retryAfter        float64 // seconds after which the host wants to be retried; 0: no hint
 	stallTime         Time    // Balancer.stallTime when the attempt was sent
 	ended             bool
 	result            Result        // as of the head of the answer, or the end of the attempt
@@ -464,14 +464,14 @@
 	if !r.done || r.openAttempts > 0 {
 		return
 	}
-	delete(b.reqs, r.ID)
+	delete(b.requests, r.ID)
 	b.freeAttempts = append(b.freeAttempts, r.attempts...)
 	b.freeRequests = append(b.freeRequests, r)
 }
 
 // openAttempt returns an attempt that has not ended, of a request that still needs an answer, or nil.
 func (b *Balancer) openAttempt(id RequestID, n int) *attempt {
-	if r := b.reqs[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) && !r.attempts[n].ended {
+	if r := b.requests[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) && !r.attempts[n].ended {
 		return r.attempts[n]
 	}
 	return nil
