--- a/balancer.go
+++ b/balancer.go
@@ -35,7 +35,7 @@
 	firstEjectionAims  = 2       // duration of the first ejection
 	minErrorGap        = 30      // good answers between two errors from which on none ejects the host
 	safeProbeAims      = 8       // time after an ejection in which only retryable requests probe
-	weightedLoadRatio  = 2       // by weights: the first drawn is used up to this x the second's load
+	weightedLoadRatio  = 2       // draw by weights: maximum ratio of the load of the first host to the second
 	maxRetryHintAims   = 64      // maximum Retry-After hint of a host that is accepted
 	maxDoublings       = 5       // maximum number of doublings of the duration of an ejection
 	firstReconnectAims = 1.0 / 8 // first delay of a probe while all hosts refuse connections
@@ -51,24 +51,24 @@
 	limitRTTAims     = 0.375    // target mean RTT of the in-flight limit of a host
 	recentRTTAims    = 0.5      // averaging time of the recent RTT of a host: shorter than an overload takes
 	minHostLimit     = 2        // minimum in-flight limit of a host: one attempt runs while the next arrives
-	limitGrowth      = 0.3      // attempts added by the fleet per round trip while requests wait
+	limitGrowth      = 0.3      // attempts the fleet adds to a limit per round trip while requests wait
 	initialHostLimit = 4        // in-flight limit of a new host for the whole fleet, in attempts
 
 	maxQueueShare    = 0.2  // maximum time that a request waits for a host, as a share of its aim
 	silenceSigmas    = 3    // deviations above the mean RTT after which a host counts as silent
 	clientRetryWorth = 0.5  // factor on the worth of a client retry: it may come too late
-	arrivalWeight    = 0.02 // weight of an arrival in the shares of the queues: about 50 count
+	arrivalWeight    = 0.02 // weight of an arrival in the shares of the queues: about the last 50 count
 	meanWeight       = 0.1  // weight of a sample in a moving average: about the last ten count
 
 	shedFromLateness  = 0.38 // mean RTT in aims above which requests are shed: most are in time
 	shedUntilLateness = 0.25 // mean RTT in aims below which shedding stops: the delay is over
 	priorLateness     = 0.06 // mean RTT in aims that is assumed without evidence
-	priorAnswers      = 2    // weight of that in answers, so that one slow one is no overload
-	maxLateWeight     = 5    // maximum weight of the answers kept: hosts overload within seconds
+	priorAnswers      = 2    // weight of that assumption in answers: one slow answer is no overload
+	maxLateWeight     = 5    // maximum weight of the answers kept: hosts become overloaded within seconds
 	maxAdmitSteps     = 4    // maximum steps of one answer: a rare one stands for more time
-	shedStep          = 0.2  // share of the admitted that one answer sheds at 2x shedFromLateness
-	admitStep         = 0.1  // share of all that one answer would admit again at a mean RTT of 0
-	shedAboveSharers  = 3    // instances per host above which the in-flight limit leaves each < 1
+	shedStep          = 0.2  // share of the admitted requests that one answer sheds at 2x shedFromLateness
+	admitStep         = 0.1  // share of all requests that one answer would admit again at a mean RTT of 0
+	shedAboveSharers  = 3    // instances per host above which its in-flight limit leaves each less than 1
 	minAdmitted       = 0.02 // minimum admitted share: answers must show when the overload ends
 
 	subsetSharers    = 4   // target instances per host: connections and handshakes load it
@@ -102,7 +102,7 @@
 	if err := check(&set); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, rng: seed, byID: map[HostID]*host{}, requests: map[RequestID]*request{}}
+	b := &Balancer{set: set, rng: seed, byID: map[HostID]*host{}, requestByID: map[RequestID]*request{}}
 	b.shortestAim = set.Classes[0].Aim
 	for _, c := range set.Classes {
 		b.shortestAim, b.longestAim = min(b.shortestAim, c.Aim), max(b.longestAim, c.Aim)
@@ -388,14 +388,14 @@
 // or an unknown class is ignored.
 func (b *Balancer) Request(now Time, q Request) {
 	b.now = now
-	if b.requests[q.ID] != nil || q.Class < 0 || q.Class >= len(b.set.Classes) {
+	if b.requestByID[q.ID] != nil || q.Class < 0 || q.Class >= len(b.set.Classes) {
 		return
 	}
 	r := b.newRequest()
 	r.Request, r.class, r.arrived = q, &b.set.Classes[q.Class], now
 	r.deadline = now + min(max(q.Left, 0), r.class.Deadline)
 	r.queue = b.queueOf[q.Class][b.queueBits(r)]
-	b.requests[q.ID] = r
+	b.requestByID[q.ID] = r
 	b.widenReach()
 	for i := range b.arrivals {
 		b.arrivals[i] *= 1 - arrivalWeight
@@ -492,7 +492,7 @@
 // attempt, and other attempts are canceled.
 func (b *Balancer) Started(now Time, id RequestID, n int) {
 	b.now = now
-	if r := b.requests[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) {
+	if r := b.requestByID[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) {
 		r.committed = true
 		b.cancelOthers(r, n)
 	}
@@ -545,7 +545,7 @@
 // Outcome reports the end of an attempt. An unknown or already ended attempt is ignored.
 func (b *Balancer) Outcome(now Time, o Outcome) {
 	b.now = now
-	r := b.requests[o.Request]
+	r := b.requestByID[o.Request]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
 		return
 	}
@@ -586,7 +586,7 @@
 // ClientGone reports that the client no longer waits for the request.
 func (b *Balancer) ClientGone(now Time, id RequestID) {
 	b.now = now
-	if r := b.requests[id]; r != nil && !r.done {
+	if r := b.requestByID[id]; r != nil && !r.done {
 		b.end(r)
 	}
 }
@@ -611,7 +611,7 @@
 			b.watchIn(b.set.AskWithin)
 		}
 	case tokenAnswer:
-		r := b.requests[RequestID(token&(1<<tokenShift-1))]
+		r := b.requestByID[RequestID(token&(1<<tokenShift-1))]
 		if r == nil || r.done || r.committed || r.bodyPending ||
 			r.deadlineMoved && now < r.deadline-marginSteps*b.set.Step {
 			return
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -268,7 +268,7 @@
 		t.Fatal("forgotten with an attempt in flight")
 	}
 	g.outcome(id, 0, OK, ms)
-	if len(g.b.hosts) != 0 || len(g.b.byID) != 0 || len(g.b.requests) != 0 {
+	if len(g.b.hosts) != 0 || len(g.b.byID) != 0 || len(g.b.requestByID) != 0 {
 		t.Error("host or request kept")
 	}
 }
@@ -294,7 +294,7 @@
 	g.outcome(id, 0, OK, ms)
 	g.b.ClientGone(g.now, id)
 	g.drain()
-	if len(g.acts) != 0 || len(g.b.requests) != 0 || g.b.hosts[0].pending+g.b.hosts[1].pending != 0 {
+	if len(g.acts) != 0 || len(g.b.requestByID) != 0 || g.b.hosts[0].pending+g.b.hosts[1].pending != 0 {
 		t.Errorf("actions %v, state kept", g.acts)
 	}
 }
@@ -306,7 +306,7 @@
 	g.drain()
 	g.sole(Cancel)
 	g.outcome(id, 0, Canceled, ms)
-	if len(g.b.requests) != 0 {
+	if len(g.b.requestByID) != 0 {
 		t.Error("request kept")
 	}
 }
@@ -394,8 +394,8 @@
 	}
 	g.b.Outcome(g.now, Outcome{Request: id, Result: OK, Elapsed: time.Hour, Closed: true})
 	g.drain()
-	if h.streams != 0 || h.rtt != before || len(g.b.requests) != 0 {
-		t.Errorf("at the end: %d streams, estimate %v (was %v), %d requests", h.streams, h.rtt, before, len(g.b.requests))
+	if h.streams != 0 || h.rtt != before || len(g.b.requestByID) != 0 {
+		t.Errorf("at the end: %d streams, estimate %v (was %v), %d requests", h.streams, h.rtt, before, len(g.b.requestByID))
 	}
 }
 
@@ -442,7 +442,7 @@
 	}
 	id := g.request(0, 500*ms)
 	g.b.ResponseStreaming(g.now, id, 0, OK, 10*ms)
-	at := g.b.requests[id].attempts[0].host
+	at := g.b.requestByID[id].attempts[0].host
 	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Closed: true})
 	if at.ejectUntil <= g.now {
 		t.Error("a host whose answers break off stays in use")
--- a/ban_test.go
+++ b/ban_test.go
@@ -115,13 +115,13 @@
 	for met < 3 && g.now-from < 5*time.Second {
 		id := g.request(0, time.Second)
 		g.advance(5 * ms)
-		switch a := g.b.requests[id].attempts[0]; {
+		switch a := g.b.requestByID[id].attempts[0]; {
 		case a.host.ID != last:
 			g.outcome(id, 0, OK, 5*ms)
 		case met < 2: // it comes up late
 			met++
 			g.outcome(id, 0, ConnectFailed, 5*ms)
-			if g.b.requests[id] != nil && len(g.b.requests[id].attempts) > 1 {
+			if g.b.requestByID[id] != nil && len(g.b.requestByID[id].attempts) > 1 {
 				g.outcome(id, 1, OK, 5*ms)
 			}
 		default:
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -116,8 +116,8 @@
 			h.finish(id, n, Canceled)
 		}
 	}
-	if len(h.b.requests) != 0 || h.b.queued != 0 {
-		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.requests), h.b.queued)
+	if len(h.b.requestByID) != 0 || h.b.queued != 0 {
+		h.Fatalf("%d requests kept, %d waiting, after all has ended", len(h.b.requestByID), h.b.queued)
 	}
 	for _, x := range h.b.hosts {
 		if x.pending != 0 || x.pendingAttempts.head != nil {
--- a/load_test.go
+++ b/load_test.go
@@ -40,7 +40,7 @@
 		if a.Kind != Refuse {
 			t.Fatalf("action %v", a)
 		}
-		if g.b.requests[a.Request] != nil {
+		if g.b.requestByID[a.Request] != nil {
 			t.Error("refused request kept")
 		}
 	}
@@ -62,7 +62,7 @@
 			t.Errorf("action %v, want only the late request of the lower line refused", a)
 		}
 	}
-	if g.b.requests[low] != nil || g.b.requests[high] == nil {
+	if g.b.requestByID[low] != nil || g.b.requestByID[high] == nil {
 		t.Error("the late request waits on, or the other was refused")
 	}
 }
--- a/repeats_test.go
+++ b/repeats_test.go
@@ -124,7 +124,7 @@
 	}
 	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Closed: true})
 	g.drain()
-	if len(g.acts) != 0 || len(g.b.requests) != 0 {
-		t.Errorf("actions %v after a broken stream, %d requests kept", g.acts, len(g.b.requests))
+	if len(g.acts) != 0 || len(g.b.requestByID) != 0 {
+		t.Errorf("actions %v after a broken stream, %d requests kept", g.acts, len(g.b.requestByID))
 	}
 }
--- a/state.go
+++ b/state.go
@@ -24,7 +24,7 @@
 	byID        map[HostID]*host
 	banned      map[HostID]bool // taken out of service by an operator, listed or not
 	reinstated  []*host         // put back into service by an operator, no answer since
-	requests    map[RequestID]*request
+	requestByID map[RequestID]*request
 	queues      []list[request] // waiting requests, highest worth first
 	queueOf     [][4]int        // index in queues by class and queueBits
 	arrivals    []float64       // recent requests by queue, decayed by each request
@@ -360,7 +360,7 @@
 	n.prev, n.next = nil, nil
 }
 
-// bucket is a token bucket: tokens as of at, refilled at rate per second.
+// bucket is a token bucket: tokens is its content as of at, and grows by rate per second.
 type bucket struct {
 	tokens, rate float64
 	at           Time
@@ -464,14 +464,14 @@
 	if !r.done || r.openAttempts > 0 {
 		return
 	}
-	delete(b.requests, r.ID)
+	delete(b.requestByID, r.ID)
 	b.freeAttempts = append(b.freeAttempts, r.attempts...)
 	b.freeRequests = append(b.freeRequests, r)
 }
 
 // openAttempt returns an attempt that has not ended, of a request that still needs an answer, or nil.
 func (b *Balancer) openAttempt(id RequestID, n int) *attempt {
-	if r := b.requests[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) && !r.attempts[n].ended {
+	if r := b.requestByID[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) && !r.attempts[n].ended {
 		return r.attempts[n]
 	}
 	return nil
@@ -558,21 +558,20 @@
 	b.addAction(Action{Kind: Log, Text: text})
 }
 
-// RankPosition returns the ring position, from 0 to below 1, of the instance with the given rank out of
-// of instances. Steps of the golden ratio, rounded to a step coprime to their number, put all of them
+// RankPosition returns the ring position, from 0 to below 1, of the instance with the given rank. Steps of the golden ratio, rounded to a step coprime to their number, put all of them
 // as far apart as possible, and nearly so any run of consecutive ranks.
-func RankPosition(rank, of int) float64 {
+func RankPosition(rank, instances int) float64 {
 	gcd := func(x, y int) int {
 		for y != 0 {
 			x, y = y, x%y
 		}
 		return x
 	}
-	step := int(math.Round(float64(of) * (math.Phi - 1)))
-	for gcd(step, of) != 1 {
+	step := int(math.Round(float64(instances) * (math.Phi - 1)))
+	for gcd(step, instances) != 1 {
 		step++
 	}
-	return float64(rank*step%of) / float64(of)
+	return float64(rank*step%instances) / float64(instances)
 }
 
 // nextRand returns the next number of splitmix64: small, seeded, and the same on every platform.
