--- a/balancer.go
+++ b/balancer.go
@@ -488,9 +488,9 @@
 	return bits
 }
 
-// Started reports that the answer stream of attempt n has begun: the request is committed to that
+// StreamStarted reports that the answer stream of attempt n has begun: the request is committed to that
 // attempt, and other attempts are canceled.
-func (b *Balancer) Started(now Time, id RequestID, n int) {
+func (b *Balancer) StreamStarted(now Time, id RequestID, n int) {
 	b.now = now
 	if r := b.requestByID[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) {
 		r.committed = true
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -280,8 +280,8 @@
 	g.outcome(id, 7, OK, ms)
 	g.outcome(id, -1, OK, ms)
 	g.b.ClientGone(g.now, id+99)
-	g.b.Started(g.now, id+99, 0)
-	g.b.Started(g.now, id, 9)
+	g.b.StreamStarted(g.now, id+99, 0)
+	g.b.StreamStarted(g.now, id, 9)
 	g.b.Timer(g.now, math.MaxUint64)
 	g.b.Request(g.now, Request{ID: id, Left: time.Second}) // repeated
 	g.b.Request(g.now, Request{ID: 500, Class: 9})
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -74,7 +74,7 @@
 	case wire.Req:
 		b.Request(now, e.Request)
 	case wire.Flowing:
-		b.Started(now, e.Request.ID, e.Attempt)
+		b.StreamStarted(now, e.Request.ID, e.Attempt)
 	case wire.AttemptEnd:
 		b.Outcome(now, e.Outcome)
 	case wire.Withdrawn:
--- a/repeats_test.go
+++ b/repeats_test.go
@@ -118,7 +118,7 @@
 func TestStreamBelongsToItsAttempt(t *testing.T) {
 	g := start(t, basic(), hosts(2)...)
 	id := g.request(0, 500*ms)
-	g.b.Started(g.now, id, 0)
+	g.b.StreamStarted(g.now, id, 0)
 	if done := g.advance(2 * time.Second); len(done) != 0 {
 		t.Errorf("done %v past the deadline of a stream that has begun", done)
 	}
