--- a/balancer.go
+++ b/balancer.go
@@ -31,59 +31,62 @@
 	unknownAims     = 0.25 // RTT assumed for an unknown host: at 0 it would look idle
 	penaltyAims     = 1    // minimum RTT recorded for an error or refusal
 	penaltyRTTs     = 2    // second minimum for it, in mean RTTs of good answers
-	meanWeight      = 0.1  // weight of a sample in a moving average: about the last ten count
-
-	firstEjectionAims  = 2        // duration of the first ejection
-	maxDoublings       = 5        // maximum number of doublings of the duration of an ejection
-	minErrorGap        = 30       // good answers between two errors from which on none ejects the host
-	safeProbeAims      = 8        // time after an ejection in which only retryable requests probe
-	firstReconnectAims = 1.0 / 8  // first delay of a probe while all hosts refuse connections
-	maxReconnectAims   = 16       // maximum of that delay: such a probe sends no request
-	maxRetryHintAims   = 64       // maximum Retry-After hint of a host that is accepted
-	sweepAims          = 1.0 / 16 // interval of the checks of queues and silent hosts
-	silenceSigmas      = 3        // deviations above the mean RTT after which a host counts as silent
-	ownAnswerAims      = 2        // time after an own answer in which refusals met by peers are ignored
+
+	firstEjectionAims  = 2       // duration of the first ejection
+	minErrorGap        = 30      // good answers between two errors from which on none ejects the host
+	safeProbeAims      = 8       // time after an ejection in which only retryable requests probe
+	weightedLoadRatio  = 2       // draw by weights: maximum ratio of the load of the first host to the second
+	maxRetryHintAims   = 64      // maximum Retry-After hint of a host that is accepted
+	maxDoublings       = 5       // maximum number of doublings of the duration of an ejection
+	firstReconnectAims = 1.0 / 8 // first delay of a probe while all hosts refuse connections
+	maxReconnectAims   = 16      // maximum of that delay: such a probe sends no request
 
 	coldBudgetSigmas  = 3.0     // standard deviations that sends stay below the budget of a cold host
 	coldCreditSigmas  = 4.0     // standard deviations of the fleet's sends that unused credit may add
 	rateWindows       = 4       // averaging time of rates, in overload windows (Settings.Fall)
-	minRateFraction   = 1.0 / 8 // minimum fraction of it that a short history counts as
+	minRateFraction   = 1.0 / 8 // minimum fraction of that time that a short history counts as
 	quotaBurstSeconds = 1.0     // seconds of its quota that a tenant may accumulate
-	maxNewStartAge    = 600e9   // maximum age of a start first reported by a list change, in ns
-	maxStartAhead     = 60e9    // maximum time of a start in the future, in ns: clocks differ
-	listRetryDelay    = 0.8e9   // maximum mean delay of the first retry of a lost list, in ns; then x2
-
-	limitRTTAims     = 0.375 // target mean RTT of the in-flight limit of a host
-	recentRTTAims    = 0.5   // averaging time of its recent RTT: shorter than an overload takes
-	minHostLimit     = 2     // minimum in-flight limit: one attempt runs while the next arrives
-	limitGrowth      = 0.3   // attempts added by the fleet per round trip while requests wait
-	initialHostLimit = 4     // in-flight limit of a new host for the whole fleet, in attempts
-	stallTimeDivisor = 8     // 1/8 of an attempt's time counts even if the gateway was stalled
-	streamLoad       = 0.125 // load of a streaming body, in attempts: it mostly waits for its client
-	suspicionLoad    = 3     // multiple of its RTT added to a host at full suspicion (1) by peers
-
-	maxQueueShare     = 0.2  // maximum time that a request waits for a host, as a share of its aim
-	clientRetryWorth  = 0.5  // factor on the worth of a client retry: it may come too late
-	arrivalWeight     = 0.02 // weight of an arrival in the shares of the queues: about 50 count
+
+	sweepAims        = 1.0 / 16 // interval of the checks of queues and silent hosts
+	limitRTTAims     = 0.375    // target mean RTT of the in-flight limit of a host
+	recentRTTAims    = 0.5      // averaging time of the recent RTT of a host: shorter than an overload takes
+	minHostLimit     = 2        // minimum in-flight limit of a host: one attempt runs while the next arrives
+	limitGrowth      = 0.3      // attempts the fleet adds to a limit per round trip while requests wait
+	initialHostLimit = 4        // in-flight limit of a new host for the whole fleet, in attempts
+
+	maxQueueShare    = 0.2  // maximum time that a request waits for a host, as a share of its aim
+	silenceSigmas    = 3    // deviations above the mean RTT after which a host counts as silent
+	clientRetryWorth = 0.5  // factor on the worth of a client retry: it may come too late
+	arrivalWeight    = 0.02 // weight of an arrival in the shares of the queues: about the last 50 count
+	meanWeight       = 0.1  // weight of a sample in a moving average: about the last ten count
+
 	shedFromLateness  = 0.38 // mean RTT in aims above which requests are shed: most are in time
 	shedUntilLateness = 0.25 // mean RTT in aims below which shedding stops: the delay is over
 	priorLateness     = 0.06 // mean RTT in aims that is assumed without evidence
-	priorAnswers      = 2    // weight of that in answers, so that one slow one is no overload
-	maxLateWeight     = 5    // maximum weight of the answers kept: hosts overload within seconds
+	priorAnswers      = 2    // weight of that assumption in answers: one slow answer is no overload
+	maxLateWeight     = 5    // maximum weight of the answers kept: hosts become overloaded within seconds
 	maxAdmitSteps     = 4    // maximum steps of one answer: a rare one stands for more time
-	shedStep          = 0.2  // share of the admitted that one answer sheds at 2x shedFromLateness
-	admitStep         = 0.1  // share of all that one answer would admit again at a mean RTT of 0
-	shedAboveSharers  = 3    // instances per host above which the in-flight limit leaves each < 1
+	shedStep          = 0.2  // share of the admitted requests that one answer sheds at 2x shedFromLateness
+	admitStep         = 0.1  // share of all requests that one answer would admit again at a mean RTT of 0
+	shedAboveSharers  = 3    // instances per host above which its in-flight limit leaves each less than 1
 	minAdmitted       = 0.02 // minimum admitted share: answers must show when the overload ends
-	marginSteps       = 2    // minimum time from an answer to the deadline, in Settings.Step
-
-	subsetSharers       = 4   // target instances per host: connections and handshakes load it
-	minSubset           = 4   // minimum hosts in a subset: a choice of two while some are ejected
-	hostsPerInFlight    = 2.5 // hosts to use per request in flight when none is overloaded
-	minDrawSubset       = 32  // subset size from which on hosts are drawn, not examined in turn
-	maxDraws            = 12  // maximum draws; with half of the hosts ejected 99.7% succeed
-	weightedLoadRatio   = 2   // by weights: the first drawn is used up to this x the second's load
-	ignorePeerLoadEvery = 8   // one of so many requests ignores the in-flight attempts of peers
+
+	subsetSharers    = 4   // target instances per host: connections and handshakes load it
+	minSubset        = 4   // minimum hosts in a subset: a choice of two while some are ejected
+	hostsPerInFlight = 2.5 // hosts to use per request in flight when none is overloaded
+	minDrawSubset    = 32  // subset size from which on hosts are drawn, not examined in turn
+	maxDraws         = 12  // maximum draws; with half of the hosts ejected 99.7% succeed
+
+	stallTimeDivisor    = 8     // 1/8 of an attempt's time counts even if the gateway was stalled
+	streamLoad          = 0.125 // load of a streaming body, in attempts: it mostly waits for its client
+	suspicionLoad       = 3     // multiple of its RTT added to a host at full suspicion (1) by peers
+	ownAnswerAims       = 2     // time after an own answer in which refusals met by peers are ignored
+	ignorePeerLoadEvery = 8     // one of so many requests ignores the in-flight attempts of peers
+
+	marginSteps    = 2     // minimum time from an answer to the deadline, in Settings.Step
+	maxNewStartAge = 600e9 // maximum age of a start first reported by a list change, in ns
+	maxStartAhead  = 60e9  // maximum time of a start in the future, in ns: clocks differ
+	listRetryDelay = 0.8e9 // maximum mean delay of the first retry of a lost list, in ns; then x2
 )
 
 const (
@@ -91,7 +94,7 @@
 	tokenWatch             // send a watch to discovery
 	tokenAnswer            // give a request its final answer before its deadline
 
-	tokenShift = 56 // bits below the kind in a token; they hold the request ID
+	tokenShift = 56 // a token is its kind, shifted left by so many bits, plus the request ID
 )
 
 // New returns a Balancer for the settings, or an error if the settings are not valid.
@@ -99,7 +102,7 @@
 	if err := check(&set); err != nil {
 		return nil, err
 	}
-	b := &Balancer{set: set, rng: seed, byID: map[HostID]*host{}, reqs: map[RequestID]*request{}}
+	b := &Balancer{set: set, rng: seed, byID: map[HostID]*host{}, requestByID: map[RequestID]*request{}}
 	b.shortestAim = set.Classes[0].Aim
 	for _, c := range set.Classes {
 		b.shortestAim, b.longestAim = min(b.shortestAim, c.Aim), max(b.longestAim, c.Aim)
@@ -119,13 +122,14 @@
 // number of instances sets the size of the subset of this instance, so that every host is used by one;
 // the maximum divides the budgets of cold hosts and the quotas of tenants, so that all instances
 // together stay within them. Values that are not valid are ignored.
-func (b *Balancer) Fleet(now Time, k Fleet) {
-	if b.now = now; k.Min < 1 || k.Max < k.Min || !(k.Position >= 0 && k.Position < 1) || k == b.fleetInfo {
+func (b *Balancer) Fleet(now Time, fleet Fleet) {
+	if b.now = now; fleet.Min < 1 || fleet.Max < fleet.Min || !(fleet.Position >= 0 && fleet.Position < 1) ||
+		fleet == b.fleetInfo {
 		return
 	}
-	b.fleetInfo = k
+	b.fleetInfo = fleet
 	for i := range b.quotas {
-		b.quotas[i].rate = b.set.Tenants[i].Quota / float64(k.Max)
+		b.quotas[i].rate = b.set.Tenants[i].Quota / float64(fleet.Max)
 	}
 	b.rebuildRing()
 	b.serveQueues()
@@ -139,7 +143,7 @@
 		class, bits int
 		worth       float64
 	}
-	var queues []waitingQueue
+	var ordered []waitingQueue
 	for i, c := range b.set.Classes {
 		for bits := range 4 {
 			worth := c.Worth
@@ -149,17 +153,17 @@
 			if bits&clientRetry != 0 {
 				worth *= clientRetryWorth
 			}
-			queues = append(queues, waitingQueue{i, bits, worth})
+			ordered = append(ordered, waitingQueue{i, bits, worth})
 		}
 	}
-	slices.SortStableFunc(queues, func(x, y waitingQueue) int {
+	slices.SortStableFunc(ordered, func(x, y waitingQueue) int {
 		aimX, aimY := b.set.Classes[x.class].Aim, b.set.Classes[y.class].Aim
 		return cmp.Or(cmp.Compare(y.worth, x.worth), cmp.Compare(aimX, aimY))
 	})
 	b.queueOf = make([][4]int, len(b.set.Classes))
-	b.queues = make([]list[request], len(queues))
-	b.arrivals = make([]float64, len(queues))
-	for k, q := range queues {
+	b.queues = make([]list[request], len(ordered))
+	b.arrivals = make([]float64, len(ordered))
+	for k, q := range ordered {
 		b.queueOf[q.class][q.bits] = k
 	}
 }
@@ -188,8 +192,8 @@
 			h.State = Removed
 		}
 	}
-	for _, e := range list {
-		b.updateHost(e, kind)
+	for _, entry := range list {
+		b.updateHost(entry, kind)
 	}
 	b.forgetRemoved()
 	b.rebuildRing()
@@ -197,7 +201,7 @@
 }
 
 // rebuildRing arranges the hosts in a ring of pseudo-random order that begins at the position of this
-// instance; the subset is the first of them that are usable. One host more or less changes a subset
+// instance; the subset is the first of them. One host more or less changes a subset
 // by at most one host. Subsets save hosts a connection from every instance and give an instance
 // enough samples of each host. They matter where more than subsetSharers instances would share a
 // host. Half of a subset is from the own zone, because crossing zones costs; the other half is from
@@ -206,7 +210,7 @@
 	defer b.rebuildNearSubset()
 	b.updatePositions()
 	b.warmHosts, b.backups, b.weighted, b.nextWarmAt = 0, 0, false, 0
-	nearHosts := b.nearScratch[:0]
+	nearHosts := b.nearHosts[:0]
 	hostsInZone := map[int]float64{} // number of hosts per zone
 	for _, h := range b.byPosition {
 		hostsInZone[h.Zone]++
@@ -232,7 +236,7 @@
 			nearHosts = append(nearHosts, h)
 		}
 	}
-	b.nearScratch = nearHosts
+	b.nearHosts = nearHosts
 	b.ring = b.appendRotated(b.ring[:0], nearHosts)
 	b.ring = b.ring[:min(len(nearHosts), b.subsetSize/2)]
 	first, total := len(b.ring), len(b.byPosition)
@@ -333,19 +337,19 @@
 // peers met eject it as an own one would, until an own probe succeeds, or for as long as peers probe it.
 // The ejection applies only if the host has not answered this instance recently, and to at most half of
 // the hosts.
-func (b *Balancer) HostHealth(now Time, k HostHealth) {
+func (b *Balancer) HostHealth(now Time, health HostHealth) {
 	b.now = now
-	h := b.byID[k.Host]
+	h := b.byID[health.Host]
 	if h == nil {
 		return
 	}
-	h.suspicion, h.suspicionUntil = min(max(k.Suspicion, 0), 1), k.Until
-	if h.peersProbe && !(k.Down && k.Wait) { // peers got answers: all may probe, but not all at once
+	h.suspicion, h.suspicionUntil = min(max(health.Suspicion, 0), 1), health.Until
+	if h.peersProbe && !(health.Down && health.Wait) { // peers got answers: all may probe, spread out
 		h.peersProbe, h.ejectUntil = false, min(h.ejectUntil,
 			now+Time(ownAnswerAims*float64(b.shortestAim)*b.float()))
 	}
 	switch {
-	case !k.Down || now >= k.Until || now-h.answeredAt < ownAnswerAims*b.shortestAim:
+	case !health.Down || now >= health.Until || now-h.answeredAt < ownAnswerAims*b.shortestAim:
 		return
 	case h.ejections == 0 && 2*(b.ejectedByPeersCount()+1) > len(b.hosts):
 		return
@@ -353,17 +357,17 @@
 		b.eject(h, "others are refused")
 		h.down, h.ejectedByPeers = true, true
 	}
-	if k.Wait {
-		h.ejectUntil, h.peersProbe = max(h.ejectUntil, k.Until), true
+	if health.Wait {
+		h.ejectUntil, h.peersProbe = max(h.ejectUntil, health.Until), true
 	}
 }
 
 // PeerLoad reports the in-flight attempts of peers at a host. They count like own pending attempts when
 // two hosts are compared, except for one request in ignorePeerLoadEvery: so every host keeps that share
 // of its own requests, whatever is reported.
-func (b *Balancer) PeerLoad(now Time, k PeerLoad) {
-	if h := b.byID[k.Host]; h != nil {
-		h.peerLoad, h.peerLoadUntil = k.InFlight, k.Until
+func (b *Balancer) PeerLoad(now Time, load PeerLoad) {
+	if h := b.byID[load.Host]; h != nil {
+		h.peerLoad, h.peerLoadUntil = load.InFlight, load.Until
 	}
 }
 
@@ -384,14 +388,14 @@
 // or an unknown class is ignored.
 func (b *Balancer) Request(now Time, q Request) {
 	b.now = now
-	if b.reqs[q.ID] != nil || q.Class < 0 || q.Class >= len(b.set.Classes) {
+	if b.requestByID[q.ID] != nil || q.Class < 0 || q.Class >= len(b.set.Classes) {
 		return
 	}
 	r := b.newRequest()
 	r.Request, r.class, r.arrived = q, &b.set.Classes[q.Class], now
 	r.deadline = now + min(max(q.Left, 0), r.class.Deadline)
 	r.queue = b.queueOf[q.Class][b.queueBits(r)]
-	b.reqs[q.ID] = r
+	b.requestByID[q.ID] = r
 	b.widenReach()
 	for i := range b.arrivals {
 		b.arrivals[i] *= 1 - arrivalWeight
@@ -447,7 +451,7 @@
 }
 
 // recordLateness adjusts the admitted share by how late an answer was, as a fraction of its aim, weighted
-// by worth. A missing answer at the deadline counts as two (answers).
+// by worth. answers is the weight of the sample: a request without an answer at its deadline counts as 2.
 func (b *Balancer) recordLateness(c *Class, rtt, answers float64) {
 	b.meanWorth.add(c.Worth)
 	steps := min(maxAdmitSteps, max(1, float64(b.now-b.latenessAt)/float64(b.longestAim)*4))
@@ -484,19 +488,19 @@
 	return bits
 }
 
-// Started reports that the answer stream of attempt n has begun: the request is committed to that
+// StreamStarted reports that the answer stream of attempt n has begun: the request is committed to that
 // attempt, and other attempts are canceled.
-func (b *Balancer) Started(now Time, id RequestID, n int) {
+func (b *Balancer) StreamStarted(now Time, id RequestID, n int) {
 	b.now = now
-	if r := b.reqs[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) {
+	if r := b.requestByID[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) {
 		r.committed = true
 		b.cancelOthers(r, n)
 	}
 }
 
 // RequestBodyPending reports that the body of the request of attempt n is still arriving from the client.
-// The host is not blamed for that time; the attempt counts as a streaming body there, and the time of
-// the request begins with the last byte.
+// That time does not count against the host, where the attempt is a streaming body meanwhile, and the
+// deadline of the request is set anew after the last byte.
 func (b *Balancer) RequestBodyPending(now Time, id RequestID, n int) {
 	b.now = now
 	if a := b.openAttempt(id, n); a != nil && !a.streaming {
@@ -515,7 +519,7 @@
 	}
 }
 
-// restartDeadline gives a request whose body has been sent its whole time, counted from now.
+// restartDeadline sets the deadline of a request whose body has been sent, counted from now.
 func (b *Balancer) restartDeadline(r *request) {
 	r.bodyPending, r.deadlineMoved, r.arrived = false, true, b.now
 	r.deadline = b.now + min(max(r.Left, 0), r.class.Deadline)
@@ -541,14 +545,14 @@
 // Outcome reports the end of an attempt. An unknown or already ended attempt is ignored.
 func (b *Balancer) Outcome(now Time, o Outcome) {
 	b.now = now
-	r := b.reqs[o.Request]
+	r := b.requestByID[o.Request]
 	if r == nil || o.Attempt < 0 || o.Attempt >= len(r.attempts) || r.attempts[o.Attempt].ended {
 		return
 	}
 	a := r.attempts[o.Attempt]
 	a.ended, a.result = true, o.Result
-	a.hint = min(o.After, maxRetryHintAims*b.shortestAim).Seconds()
-	r.inFlight--
+	a.retryAfter = min(o.After, maxRetryHintAims*b.shortestAim).Seconds()
+	r.openAttempts--
 	a.leaveHost()
 	if a.responseStreaming && o.Result == Reset { // the connection broke within the body
 		b.recordRTT(a.host, b.penalty())
@@ -582,7 +586,7 @@
 // ClientGone reports that the client no longer waits for the request.
 func (b *Balancer) ClientGone(now Time, id RequestID) {
 	b.now = now
-	if r := b.reqs[id]; r != nil && !r.done {
+	if r := b.requestByID[id]; r != nil && !r.done {
 		b.end(r)
 	}
 }
@@ -607,7 +611,7 @@
 			b.watchIn(b.set.AskWithin)
 		}
 	case tokenAnswer:
-		r := b.reqs[RequestID(token&(1<<tokenShift-1))]
+		r := b.requestByID[RequestID(token&(1<<tokenShift-1))]
 		if r == nil || r.done || r.committed || r.bodyPending ||
 			r.deadlineMoved && now < r.deadline-marginSteps*b.set.Step {
 			return
@@ -632,14 +636,14 @@
 
 // sendOrQueue sends the request if a host is ready for it, and queues it otherwise. It does not overtake
 // requests that already wait.
-func (b *Balancer) sendOrQueue(r *request, again bool) {
+func (b *Balancer) sendOrQueue(r *request, retry bool) {
 	if b.queued == 0 {
 		if h := b.pick(r); h != nil {
 			b.send(r, h)
 			return
 		}
 	}
-	b.enqueue(r, again)
+	b.enqueue(r, retry)
 	b.serveQueues()
 }
 
@@ -665,14 +669,14 @@
 	if h := b.drawRandom(r); h != nil {
 		return h
 	}
-	atLimit := b.collectReady(r, false)
-	if len(b.readyScratch)+atLimit == 0 && b.backups > 0 {
-		atLimit = b.collectReady(r, true) // no other host can take the request
+	limited := b.collectReady(r, false)
+	if len(b.readyScratch)+limited == 0 && b.backups > 0 {
+		limited = b.collectReady(r, true) // no other host can take the request
 	}
 	// Fail open: if most hosts are ejected, the cause is more likely the network path or the load
 	// than every host, and the few others must not get all requests. Hosts that refuse connections
 	// are excluded.
-	if len(b.ejectedScratch) > len(b.readyScratch)+atLimit {
+	if len(b.ejectedScratch) > len(b.readyScratch)+limited {
 		b.log(logFailOpen, "%d hosts are ejected, most that are near: using them all the same",
 			len(b.ejectedScratch))
 		for _, h := range b.ejectedScratch[:min(len(b.ejectedScratch), b.subsetSize)] {
@@ -682,7 +686,7 @@
 		}
 	}
 	n := len(b.readyScratch)
-	if n == 0 && atLimit == 0 {
+	if n == 0 && limited == 0 {
 		return b.lastResort(r)
 	}
 	if n == 0 {
@@ -741,7 +745,7 @@
 
 // collectReady collects the ready hosts and the ejected hosts of the subset, considering either only
 // backup hosts or only the others. It returns how many more hosts are at their in-flight limit.
-func (b *Balancer) collectReady(r *request, backups bool) (atLimit int) {
+func (b *Balancer) collectReady(r *request, backups bool) (limited int) {
 	b.readyScratch, b.ejectedScratch = b.readyScratch[:0], b.ejectedScratch[:0]
 	for i, h := range b.ring {
 		if h.Backup != backups {
@@ -749,7 +753,7 @@
 		}
 		// The loop ends with the subset, however few of its hosts are usable: if each instance
 		// searched on, those few would get an attempt of every instance, and all would be late.
-		if n := len(b.readyScratch) + atLimit; n == b.reach || n > 1 && i >= b.reach {
+		if n := len(b.readyScratch) + limited; n == b.reach || n > 1 && i >= b.reach {
 			break
 		}
 		switch {
@@ -760,12 +764,12 @@
 		case b.coldBlocked(h):
 		case h.cold && !h.usableCold: // hosts further on have other sharers
 		case b.atLimit(h):
-			atLimit++
+			limited++
 		default:
 			b.readyScratch = append(b.readyScratch, h)
 		}
 	}
-	return atLimit
+	return limited
 }
 
 // lessLoaded returns the less loaded of two hosts; either may be nil.
@@ -821,8 +825,8 @@
 		rtt += b.set.CrossPrice * b.shortestAim.Seconds()
 	}
 	rtt *= 1 + suspicionLoad*b.unlessExpired(h.suspicion, h.suspicionUntil)
-	others := b.peerLoadFactor * b.unlessExpired(h.peerLoad, h.peerLoadUntil)
-	return rtt * ((float64(h.pending)+others+streamLoad*float64(h.streams))/h.weight() + 1)
+	peerLoad := b.peerLoadFactor * b.unlessExpired(h.peerLoad, h.peerLoadUntil)
+	return rtt * ((float64(h.pending)+peerLoad+streamLoad*float64(h.streams))/h.weight() + 1)
 }
 
 // decayedRTT returns the RTT estimate in seconds, decayed toward zero so that a host that was penalized
@@ -836,8 +840,8 @@
 
 // believedRTT returns the RTT estimate in seconds, drawn toward the mean of all hosts unless there is
 // evidence that the host differs: with few samples, a peak says more about the request than about the
-// host, and equal hosts would get unequal shares. With many or clear samples the estimate counts in
-// full; so does a penalty.
+// host, and equal hosts would get unequal shares. With many samples or a clear difference the estimate
+// counts in full; so does a penalty.
 func (b *Balancer) believedRTT(h *host) float64 {
 	average := b.meanRTT.mean
 	if e := b.decayedRTT(h); !b.meanRTT.seen || h.unsampled || h.penalized && e > average {
@@ -854,8 +858,8 @@
 func (b *Balancer) recordRelativeTime(h *host, rtt, classMean float64) {
 	if rtt > 0 && classMean > 0 {
 		x := math.Log(rtt / classMean)
-		b.relativeTimes.Add(x, 1, maxSampleWeight)
-		x -= b.relativeTimes.Sum / b.relativeTimes.N
+		b.allRelativeTimes.Add(x, 1, maxSampleWeight)
+		x -= b.allRelativeTimes.Sum / b.allRelativeTimes.N
 		h.relativeTimes.Fade(b.now, b.estimateDecay())
 		b.noise.Add(x-h.relativeTimes.Toward(0, 1), 1, maxSampleWeight)
 		h.relativeTimes.Add(x, 1, maxSampleWeight)
@@ -867,8 +871,8 @@
 
 // initialRTT returns the RTT estimate in seconds of a host without samples: the mean RTT of its kind or,
 // if its kind has no samples, a fraction of the shortest aim. In a large fleet each instance rarely
-// uses each host; without it slow hosts would get an equal share there, which is more than they can
-// serve. It applies until the first sample.
+// uses each host; without this estimate slow hosts would get an equal share, which is more than they
+// can serve. It applies until the first sample.
 func (b *Balancer) initialRTT(h *host) float64 {
 	if b.kindTimes[h.Kind].N > 0 {
 		return b.meanRTT.mean * b.kindSlowdown(h)
@@ -962,12 +966,12 @@
 	b.now = now
 	backups := 0.0
 	for _, h := range b.hosts {
-		switch limit := max(1, h.limit/b.sharers); {
+		switch share := max(1, h.limit/b.sharers); {
 		case h.State != Ready || h.ejections > 0 && b.now < h.ejectUntil:
 		case h.Backup:
-			backups += limit
+			backups += share
 		default:
-			n += limit
+			n += share
 		}
 	}
 	return cmp.Or(n, backups)
@@ -990,8 +994,8 @@
 	return rate
 }
 
-// eject ejects a host, each time in a row for longer. It does nothing if the host is ejected now.
-func (b *Balancer) eject(h *host, why string) {
+// eject ejects a host, for longer each time in a row. It does nothing if the host is ejected now.
+func (b *Balancer) eject(h *host, reason string) {
 	if h.ejections > 0 && b.now < h.ejectUntil {
 		return
 	}
@@ -999,7 +1003,7 @@
 	h.ejectUntil = b.now + Time(d*(0.75+0.5*b.float()))
 	h.ejections++
 	if h.ejections == 1 {
-		b.log(logEject, "host %x ejected: %s", h.ID, why)
+		b.log(logEject, "host %x ejected: %s", h.ID, reason)
 	}
 }
 
@@ -1015,11 +1019,11 @@
 	a.probe = h.ejections > 0
 	h.probing = h.probing || a.probe
 	r.attempts = append(r.attempts, a)
-	r.inFlight++
+	r.openAttempts++
 	h.pending++
 	h.lastRound = b.round
 	a.link.item = a
-	h.inFlight.pushBack(&a.link)
+	h.pendingAttempts.pushBack(&a.link)
 	h.credit = min(h.credit-1, 1) // used only while the host is cold
 	b.addAction(Action{Kind: Send, Request: r.ID, Host: h.ID})
 	b.inFlight++
@@ -1055,11 +1059,11 @@
 		h.penalized = true
 		// Refusals are fast: by its RTT alone, a host that only refuses would get all queued requests.
 		b.adjustLimit(h, max(rtt, b.penalty()), a.sent)
-		b.recordRTT(h, max(rtt, b.penalty(), a.hint))
+		b.recordRTT(h, max(rtt, b.penalty(), a.retryAfter))
 		b.readmit(h)
 	case Failed:
 		h.penalized = true
-		b.recordRTT(h, max(rtt, b.penalty(), a.hint))
+		b.recordRTT(h, max(rtt, b.penalty(), a.retryAfter))
 		if h.answersSinceError < minErrorGap || b.sharers > shedAboveSharers { // frequent, or few samples
 			b.eject(h, "errors")
 		}
@@ -1116,7 +1120,7 @@
 		b.release(r)
 	case closed || a.result == OK && r.committed:
 		b.end(r)
-	case r.inFlight > 0 || r.queued:
+	case r.openAttempts > 0 || r.queued:
 	case b.mayRetry(r):
 		b.sendOrQueue(r, true)
 	default:
@@ -1220,7 +1224,7 @@
 	b.inFlight = 0
 	for _, h := range b.hosts {
 		b.inFlight += h.pending
-		n := h.inFlight.head // the oldest attempt
+		n := h.pendingAttempts.head // the oldest attempt
 		if n == nil || n.item.sent < h.answeredAt ||
 			b.countedTime(n.item, b.now-n.item.sent) < b.silenceTimeout(n.item.req) {
 			continue
@@ -1237,7 +1241,7 @@
 		return
 	}
 	for _, h := range b.hosts {
-		for n := h.inFlight.head; n != nil; n = n.next {
+		for n := h.pendingAttempts.head; n != nil; n = n.next {
 			r := n.item.req
 			if !r.done && !r.committed && r.class.Effect != Unsafe && b.now-r.arrived > r.class.Aim {
 				b.recordOverdue(r)
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -268,7 +268,7 @@
 		t.Fatal("host removed with an attempt in flight")
 	}
 	g.outcome(id, 0, OK, ms)
-	if len(g.b.hosts) != 0 || len(g.b.byID) != 0 || len(g.b.reqs) != 0 {
+	if len(g.b.hosts) != 0 || len(g.b.byID) != 0 || len(g.b.requestByID) != 0 {
 		t.Error("a host or request is still stored")
 	}
 }
@@ -280,8 +280,8 @@
 	g.outcome(id, 7, OK, ms)
 	g.outcome(id, -1, OK, ms)
 	g.b.ClientGone(g.now, id+99)
-	g.b.Started(g.now, id+99, 0)
-	g.b.Started(g.now, id, 9)
+	g.b.StreamStarted(g.now, id+99, 0)
+	g.b.StreamStarted(g.now, id, 9)
 	g.b.Timer(g.now, math.MaxUint64)
 	g.b.Request(g.now, Request{ID: id, Left: time.Second}) // a duplicate
 	g.b.Request(g.now, Request{ID: 500, Class: 9})
@@ -294,7 +294,7 @@
 	g.outcome(id, 0, OK, ms)
 	g.b.ClientGone(g.now, id)
 	g.drain()
-	if len(g.acts) != 0 || len(g.b.reqs) != 0 || g.b.hosts[0].pending+g.b.hosts[1].pending != 0 {
+	if len(g.acts) != 0 || len(g.b.requestByID) != 0 || g.b.hosts[0].pending+g.b.hosts[1].pending != 0 {
 		t.Errorf("actions %v, or state of the request is still stored", g.acts)
 	}
 }
@@ -306,7 +306,7 @@
 	g.drain()
 	g.onlyAction(Cancel)
 	g.outcome(id, 0, Canceled, ms)
-	if len(g.b.reqs) != 0 {
+	if len(g.b.requestByID) != 0 {
 		t.Error("the request is still stored")
 	}
 }
@@ -369,7 +369,7 @@
 	id := g.request(0, 500*ms)
 	g.b.RequestBodyPending(g.now, id, 0)
 	h := g.b.hosts[0]
-	if h.pending != 0 || h.streams != 1 || h.inFlight.head != nil {
+	if h.pending != 0 || h.streams != 1 || h.pendingAttempts.head != nil {
 		t.Errorf("while the request body arrives: %d attempts and %d streams at the host", h.pending, h.streams)
 	}
 	if done := g.advance(time.Minute); len(done) != 0 {
@@ -394,8 +394,8 @@
 	}
 	g.b.Outcome(g.now, Outcome{Request: id, Result: OK, Elapsed: time.Hour, Closed: true})
 	g.drain()
-	if h.streams != 0 || h.rtt != before || len(g.b.reqs) != 0 {
-		t.Errorf("at the end: %d streams, estimate %v (was %v), %d requests", h.streams, h.rtt, before, len(g.b.reqs))
+	if h.streams != 0 || h.rtt != before || len(g.b.requestByID) != 0 {
+		t.Errorf("at the end: %d streams, estimate %v (was %v), %d requests", h.streams, h.rtt, before, len(g.b.requestByID))
 	}
 }
 
@@ -443,7 +443,7 @@
 	}
 	id := g.request(0, 500*ms)
 	g.b.ResponseStreaming(g.now, id, 0, OK, 10*ms)
-	broken := g.b.reqs[id].attempts[0].host
+	broken := g.b.requestByID[id].attempts[0].host
 	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Closed: true})
 	if broken.ejectUntil <= g.now {
 		t.Error("a host whose stream broke is not ejected")
--- a/ban_test.go
+++ b/ban_test.go
@@ -117,13 +117,13 @@
 	for sent < 3 && g.now-from < 5*time.Second {
 		id := g.request(0, time.Second)
 		g.advance(5 * ms)
-		switch a := g.b.reqs[id].attempts[0]; {
+		switch a := g.b.requestByID[id].attempts[0]; {
 		case a.host.ID != last:
 			g.outcome(id, 0, OK, 5*ms)
 		case sent < 2: // it is not ready yet
 			sent++
 			g.outcome(id, 0, ConnectFailed, 5*ms)
-			if g.b.reqs[id] != nil && len(g.b.reqs[id].attempts) > 1 {
+			if g.b.requestByID[id] != nil && len(g.b.requestByID[id].attempts) > 1 {
 				g.outcome(id, 1, OK, 5*ms)
 			}
 		default:
--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -77,7 +77,7 @@
 	case wire.Req:
 		b.Request(now, e.Request)
 	case wire.Flowing:
-		b.Started(now, e.Request.ID, e.Attempt)
+		b.StreamStarted(now, e.Request.ID, e.Attempt)
 	case wire.AttemptEnd:
 		b.Outcome(now, e.Outcome)
 	case wire.Withdrawn:
--- a/fuzz_test.go
+++ b/fuzz_test.go
@@ -119,11 +119,11 @@
 			h.finish(id, n, Canceled)
 		}
 	}
-	if len(h.b.reqs) != 0 || h.b.queued != 0 {
-		h.Fatalf("%d requests stored and %d waiting after all have ended", len(h.b.reqs), h.b.queued)
+	if len(h.b.requestByID) != 0 || h.b.queued != 0 {
+		h.Fatalf("%d requests stored and %d waiting after all have ended", len(h.b.requestByID), h.b.queued)
 	}
 	for _, x := range h.b.hosts {
-		if x.pending != 0 || x.inFlight.head != nil {
+		if x.pending != 0 || x.pendingAttempts.head != nil {
 			h.Fatalf("host %d has %d attempts after all have ended", x.ID, x.pending)
 		}
 	}
--- a/hosthealth_test.go
+++ b/hosthealth_test.go
@@ -110,7 +110,7 @@
 }
 
 // Attempts that peers have in flight count like this instance's own, except for one request in
-// blindIn, and not after the report has expired.
+// ignorePeerLoadEvery, and not after the report has expired.
 func TestOthersLoadCounts(t *testing.T) {
 	g := start(t, testSettings(), hosts(3)...)
 	took := func(HostID) time.Duration { return 10 * ms }
--- a/load_test.go
+++ b/load_test.go
@@ -40,7 +40,7 @@
 		if a.Kind != Refuse {
 			t.Fatalf("action %v", a)
 		}
-		if g.b.reqs[a.Request] != nil {
+		if g.b.requestByID[a.Request] != nil {
 			t.Error("the refused request is still stored")
 		}
 	}
@@ -63,7 +63,7 @@
 			t.Errorf("action %v, want only the late request of the lower priority refused", a)
 		}
 	}
-	if g.b.reqs[low] != nil || g.b.reqs[high] == nil {
+	if g.b.requestByID[low] != nil || g.b.requestByID[high] == nil {
 		t.Error("the late request still waits, or the other was refused")
 	}
 }
--- a/repeats_test.go
+++ b/repeats_test.go
@@ -119,13 +119,13 @@
 func TestStreamBelongsToItsAttempt(t *testing.T) {
 	g := start(t, testSettings(), hosts(2)...)
 	id := g.request(0, 500*ms)
-	g.b.Started(g.now, id, 0)
+	g.b.StreamStarted(g.now, id, 0)
 	if done := g.advance(2 * time.Second); len(done) != 0 {
 		t.Errorf("actions %v past the deadline of a request whose stream has begun", done)
 	}
 	g.b.Outcome(g.now, Outcome{Request: id, Result: Reset, Closed: true})
 	g.drain()
-	if len(g.acts) != 0 || len(g.b.reqs) != 0 {
-		t.Errorf("actions %v after a broken stream, %d requests kept", g.acts, len(g.b.reqs))
+	if len(g.acts) != 0 || len(g.b.requestByID) != 0 {
+		t.Errorf("actions %v after a broken stream, %d requests kept", g.acts, len(g.b.requestByID))
 	}
 }
