--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -69,7 +69,7 @@
 	sched      *contract.Scheduler // nil: no contracts
 	fleetShare *contract.FleetShare
 	limiter    *contract.Limiter
-	jury       *verdict.Jury
+	jury       *verdict.OutlierDetector
 	repeats    verdict.Budget
 	lookedAt   frostshift.Time // when the scheduler was told of the capacity
 	pumpAt     frostshift.Time // when it is to be asked again; 0: with the next event
--- a/internal/verdict/jury.go
+++ b/internal/verdict/jury.go
@@ -18,13 +18,13 @@
 	leastWeight = 0.05
 )
 
-// Jury tells a host's fault from a request's. A host that answers with an error is at fault
+// OutlierDetector tells a host's fault from a request's. A host that answers with an error is at fault
 // only if it does so more often than the others do: a request that fails wherever it goes,
 // or a service that fails everywhere, is held against nobody. (Envoy's success rate outlier
 // detection looks for the same, once in an interval over hosts with enough traffic; here
-// each answer is judged as it comes.) A Jury holds a few numbers a host; it is not safe for
+// each answer is judged as it comes.) A OutlierDetector holds a few numbers a host; it is not safe for
 // concurrent use.
-type Jury struct {
+type OutlierDetector struct {
 	hosts map[frostshift.HostID]*record
 	all   record
 	swept frostshift.Time
@@ -46,10 +46,10 @@
 }
 
 // NewJury returns a jury that has seen nothing.
-func NewJury() *Jury { return &Jury{hosts: map[frostshift.HostID]*record{}} }
+func NewJury() *OutlierDetector { return &OutlierDetector{hosts: map[frostshift.HostID]*record{}} }
 
 // Answered notes an answer of a host and says whether, if it is a fault, the host is to blame.
-func (j *Jury) Answered(now frostshift.Time, host frostshift.HostID, fault bool) (blame bool) {
+func (j *OutlierDetector) Answered(now frostshift.Time, host frostshift.HostID, fault bool) (blame bool) {
 	h := j.hosts[host]
 	if h == nil {
 		j.sweep(now)
@@ -77,7 +77,7 @@
 }
 
 // sweep forgets hosts of which nothing has come for long, once a span at the most.
-func (j *Jury) sweep(now frostshift.Time) {
+func (j *OutlierDetector) sweep(now frostshift.Time) {
 	if (now - j.swept).Seconds() < memory {
 		return
 	}
@@ -90,4 +90,4 @@
 }
 
 // Hosts is how many hosts are remembered.
-func (j *Jury) Hosts() int { return len(j.hosts) }
+func (j *OutlierDetector) Hosts() int { return len(j.hosts) }
