--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -140,7 +140,7 @@
 	p := &Pool{name: c.Name, set: c.Settings, log: c.Log, trouble: eventlog.New(c.Log), clock: x.clock, x: x, b: b, upstream: c.Upstream,
 		room: c.Room, watch: c.Watch, saw: c.Saw, met: c.Met, tellOut: c.Out, learned: c.Learned, sched: c.Scheduler, fleetShare: c.FleetShare, limiter: c.Limiter, advice: c.Settings.MaxRetryAfter,
 		events: make(chan event, 1024), quit: make(chan struct{}), done: make(chan struct{}),
-		calls: map[frostshift.RequestID]*Call{}, jury: verdict.NewJury(), repeats: verdict.NewBudget(c.Repeats)}
+		calls: map[frostshift.RequestID]*Call{}, jury: verdict.NewOutlierDetector(), repeats: verdict.NewBudget(c.Repeats)}
 	if c.RepeatRight != nil {
 		p.repeats.Share(c.RepeatRight)
 	}
--- a/internal/verdict/jury.go
+++ b/internal/verdict/jury.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// NewJury returns a jury that has seen nothing.
-func NewJury() *OutlierDetector { return &OutlierDetector{hosts: map[frostshift.HostID]*record{}} }
+// NewOutlierDetector returns a jury that has seen nothing.
+func NewOutlierDetector() *OutlierDetector { return &OutlierDetector{hosts: map[frostshift.HostID]*record{}} }
 
 // Answered notes an answer of a host and says whether, if it is a fault, the host is to blame.
 func (j *OutlierDetector) Answered(now frostshift.Time, host frostshift.HostID, fault bool) (blame bool) {
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -221,7 +221,7 @@
 func TestJury(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	run := func(share func(host int, at time.Duration) float64) (blamed [10]int, first [10]int) {
-		j := NewJury()
+		j := NewOutlierDetector()
 		var asked [10]int
 		for at := time.Duration(0); at < 10*time.Minute; at += time.Millisecond {
 			h := rng.IntN(10)
@@ -260,14 +260,14 @@
 	if blamed[3] < 59000 || first[3] > 6 || sum(blamed)-blamed[3] > 60 {
 		t.Errorf("a host that always fails is blamed %d times, first for answer %d; the others %v", blamed[3], first[3], blamed)
 	}
-	j := NewJury()
+	j := NewOutlierDetector()
 	for i := range 100_000 {
 		j.Answered(time.Duration(i)*10*time.Millisecond, frostshift.HostID(i), i%2 == 0)
 	}
 	if j.Hosts() > 20_000 {
 		t.Errorf("%d hosts are remembered of those that answered once each", j.Hosts())
 	}
-	alone := NewJury()
+	alone := NewOutlierDetector()
 	for i := range 100 {
 		if alone.Answered(time.Duration(i)*time.Second, 1, true) {
 			t.Fatal("the only host is blamed: there is nothing to compare it with")
