--- a/internal/exchange/call.go
+++ b/internal/exchange/call.go
@@ -330,7 +330,7 @@
 	c.fault = fault
 	blame := fault
 	if !c.Answers.Blames() {
-		blame = p.jury.Answered(now, a.Host, fault)
+		blame = p.jury.Observe(now, a.Host, fault)
 	}
 	if fault {
 		p.counts.Faults.Add(1)
--- a/internal/verdict/jury.go
+++ b/internal/verdict/jury.go
@@ -48,8 +48,8 @@
 // NewOutlierDetector returns a jury that has seen nothing.
 func NewOutlierDetector() *OutlierDetector { return &OutlierDetector{hosts: map[frostshift.HostID]*record{}} }
 
-// Answered notes an answer of a host and says whether, if it is a fault, the host is to blame.
-func (j *OutlierDetector) Answered(now frostshift.Time, host frostshift.HostID, fault bool) (blame bool) {
+// Observe notes an answer of a host and says whether, if it is a fault, the host is to blame.
+func (j *OutlierDetector) Observe(now frostshift.Time, host frostshift.HostID, fault bool) (blame bool) {
 	h := j.hosts[host]
 	if h == nil {
 		j.sweep(now)
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -226,7 +226,7 @@
 		for at := time.Duration(0); at < 10*time.Minute; at += time.Millisecond {
 			h := rng.IntN(10)
 			asked[h]++
-			if j.Answered(at+1, frostshift.HostID(h), rng.Float64() < share(h, at)) {
+			if j.Observe(at+1, frostshift.HostID(h), rng.Float64() < share(h, at)) {
 				if blamed[h]++; blamed[h] == 1 {
 					first[h] = asked[h]
 				}
@@ -262,14 +262,14 @@
 	}
 	j := NewOutlierDetector()
 	for i := range 100_000 {
-		j.Answered(time.Duration(i)*10*time.Millisecond, frostshift.HostID(i), i%2 == 0)
+		j.Observe(time.Duration(i)*10*time.Millisecond, frostshift.HostID(i), i%2 == 0)
 	}
 	if j.Hosts() > 20_000 {
 		t.Errorf("%d hosts are remembered of those that answered once each", j.Hosts())
 	}
 	alone := NewOutlierDetector()
 	for i := range 100 {
-		if alone.Answered(time.Duration(i)*time.Second, 1, true) {
+		if alone.Observe(time.Duration(i)*time.Second, 1, true) {
 			t.Fatal("the only host is blamed: there is nothing to compare it with")
 		}
 	}
