--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -129,9 +129,9 @@
 	h.b.used -= n
 }
 
-// Roomy says whether less than half of the whole is held: a holder may then take more than it
+// MostlyFree says whether less than half of the whole is held: a holder may then take more than it
 // needs at once.
-func (h *Holder) Roomy() bool {
+func (h *Holder) MostlyFree() bool {
 	h.b.mu.Lock()
 	defer h.b.mu.Unlock()
 	return 2*h.b.used < h.b.total
