--- a/internal/learning/learning.go
+++ b/internal/learning/learning.go
@@ -19,8 +19,8 @@
 )
 
 const (
-	// MostAge is the age from which on nothing that was kept is taken.
-	MostAge = time.Hour
+	// MaxAge is the age from which on nothing that was kept is taken.
+	MaxAge = time.Hour
 	// fresh is the age up to which what was learned of the load of the moment holds: what is admitted, how late
 	// answers are, at which rate hosts served. Beyond it the hosts' figures alone are taken.
 	fresh = 10 * time.Second
@@ -58,7 +58,7 @@
 var (
 	ErrNone   = errors.New("nothing was learned")
 	ErrFuture = errors.New("it is of a time to come: the clock was set back")
-	ErrOld    = fmt.Errorf("it is older than %v", MostAge)
+	ErrOld    = fmt.Errorf("it is older than %v", MaxAge)
 )
 
 // Decode is what holds now of what was written, and its age. With ErrFuture and ErrOld nothing holds, and the pools are
@@ -79,7 +79,7 @@
 		switch {
 		case age < 0:
 			return k.Pools, age, ErrFuture
-		case age > MostAge:
+		case age > MaxAge:
 			return k.Pools, age, ErrOld
 		}
 		for name, pool := range k.Pools {
--- a/internal/learning/learning_test.go
+++ b/internal/learning/learning_test.go
@@ -50,7 +50,7 @@
 	if m = read(time.Minute); m.Admit != 1 || m.Served != 0 || m.Late.N != 0 || m.Hosts[0].Out != 0 || m.Hosts[0].Fresh {
 		t.Errorf("after a minute: %+v", m)
 	}
-	for after, want := range map[time.Duration]error{-24 * time.Hour: ErrFuture, MostAge + 1: ErrOld, 365 * 24 * time.Hour: ErrOld} {
+	for after, want := range map[time.Duration]error{-24 * time.Hour: ErrFuture, MaxAge + 1: ErrOld, 365 * 24 * time.Hour: ErrOld} {
 		if _, _, err := Decode(at.Add(after), parts); !errors.Is(err, want) {
 			t.Errorf("after %v: %v, want %v", after, err, want)
 		}
