--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -58,8 +58,8 @@
 	}
 }
 
-// Back is the order to take clients again.
-func (m *Machine) Back() { m.state = Working }
+// Resume is the order to take clients again.
+func (m *Machine) Resume() { m.state = Working }
 
 // Step moves on with the time, and says how many of the connections that are idle now are to
 // be closed, and whether silent ones are, so that the closes are spread evenly.
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -34,7 +34,7 @@
 		if m.State() != c.want || closes != c.closes || silent != c.silent || m.Ready() {
 			t.Errorf("%s: %v, closes %d, silent %v", c.name, m.State(), closes, silent)
 		}
-		if m.Back(); !m.Ready() {
+		if m.Resume(); !m.Ready() {
 			t.Errorf("%s: called back, it is not ready", c.name)
 		}
 		if n, _ := m.Step(t0+c.after, 9); n != 0 {
@@ -60,7 +60,7 @@
 					on, since = true, now
 				}
 			case 1:
-				m.Back()
+				m.Resume()
 				on = false
 			case 2:
 				idle += rapid.IntRange(0, 20).Draw(rt, "more")
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -31,7 +31,7 @@
 	case c.stopped || c.handed:
 		return
 	default:
-		c.machine.Back()
+		c.machine.Resume()
 	}
 	g.admission.SetLeaving(up)
 	for _, s := range g.present() {
