--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -33,8 +33,8 @@
 	// ClosingFor is how long the closes of idle connections are spread over: all have gone 2 s
 	// behind the order, and what they carry is younger than the 4 s that are given.
 	ClosingFor = 1300 * time.Millisecond
-	// Every is how often Step wants to be called while the gateway gives its clients up.
-	Every = 50 * time.Millisecond
+	// StepInterval is how often Step wants to be called while the gateway gives its clients up.
+	StepInterval = 50 * time.Millisecond
 	// SilentAfter is how long a connection that has said nothing may stay behind Leaving.
 	SilentAfter = 300 * time.Millisecond
 )
@@ -73,7 +73,7 @@
 		return 0, false
 	case age < LeavingFor+ClosingFor:
 		m.state = Closing
-		left := int((LeavingFor + ClosingFor - age + Every - 1) / Every) // steps, this one included
+		left := int((LeavingFor + ClosingFor - age + StepInterval - 1) / StepInterval) // steps, this one included
 		return (idle + left - 1) / left, true
 	}
 	m.state = Drained
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -84,7 +84,7 @@
 
 // step moves the machine on until the clients are taken back or the gateway ends.
 func (c *clients) step() {
-	tick := time.NewTicker(drain.Every)
+	tick := time.NewTicker(drain.StepInterval)
 	defer tick.Stop()
 	for {
 		select {
