--- a/internal/verdict/after.go
+++ b/internal/verdict/after.go
@@ -7,12 +7,13 @@
 	"time"
 )
 
-// MaxRetryAfter is the longest hint that is read from an answer: a host that wants to be left
-// alone for longer is asked again all the same.
+// MaxRetryAfter caps the delay that an answer's Retry-After may request. A host that requests a
+// longer delay is tried again after this time nevertheless.
 const MaxRetryAfter = 10 * time.Minute
 
-// RetryAfter reads when a host wants to be asked again: Retry-RetryAfter in seconds or as a date (RFC
-// 9110 section 10.2.3), as of now. What can't be read or lies in the past is 0, no hint.
+// RetryAfter returns the delay that a Retry-After field requests, in seconds or as a date (RFC 9110
+// section 10.2.3), counted from now and capped at MaxRetryAfter. It returns 0, which means no
+// delay requested, if the field is missing, malformed or in the past.
 func RetryAfter(header http.Header, now time.Time) time.Duration {
 	v := header["Retry-After"]
 	if len(v) == 0 || len(v[0]) > 64 {
@@ -28,6 +29,7 @@
 	return min(max(0, at.Sub(now)), MaxRetryAfter)
 }
 
+// seconds converts s to a duration between 0 and MaxRetryAfter; NaN gives 0.
 func seconds(s float64) time.Duration {
 	switch {
 	case !(s > 0):
--- a/internal/verdict/compile.go
+++ b/internal/verdict/compile.go
@@ -8,46 +8,45 @@
 	"strings"
 )
 
-// Spec is a set as a configuration has it: rules over the defaults of ordinary services. Of
-// the rules that match an answer the first counts; what it does not say stays as it is by
-// default.
+// Spec is a set as configured: rules that override the defaults of ordinary services. The first
+// rule that matches an answer applies; whatever that rule leaves empty keeps its default.
 type Spec struct {
 	Name     string
-	Unserved string // what the client gets when attempts are used up: host or gateway; "": host
+	Unserved string // whose answer the client gets when attempts are used up: host or gateway; "" means host
 	Rules    []Rule
 }
 
-// Rule changes what some answers mean. Empty fields change nothing.
+// Rule overrides the meaning of some answers. Empty fields change nothing.
 type Rule struct {
-	Status []string // "503", "500-599"; none: all
-	Event  string   // timeout, reset or malformed, in place of a status
-	Header string   // that must be there, or be as said in one of the next
+	Status []string // such as "503" or "500-599"; empty means all
+	Event  string   // timeout, reset or malformed, instead of a status
+	Header string   // must be present, or meet the one of the next three conditions that is set
 	Equals *string
 	Not    *string
 	Absent bool
 
-	Answer string // final, spare, hidden; of an event final or spare
-	Ran    string // yes, maybe, never
-	Health string // good, fault, strained, silent
+	Answer string // final, spare or hidden; for an event final or spare
+	Ran    string // yes, maybe or never
+	Health string // good, fault, strained or silent
 }
 
-// Problem is something wrong with a Spec.
+// Problem describes an error or a warning about a Spec.
 type Problem struct {
-	Rule    int    // its index; -1: the set as a whole
-	Field   string // as configurations name it
+	Rule    int    // the index of the rule; -1 means the set as a whole
+	Field   string // the name of the key in the configuration
 	Text    string
-	Warning bool // the set works all the same
+	Warning bool // the set is usable nevertheless
 }
 
-const mostRules = 200 // of one set
+const maxRules = 200 // maximum number of rules in a set
 
-// Compile checks a Spec and makes a Set of it, which is nil if any Problem is no warning.
+// Compile checks a Spec and compiles it into a Set. The Set is nil if any Problem is not a warning.
 func Compile(spec Spec) (*Set, []Problem) {
 	var bad []Problem
-	wrong := false
+	failed := false
 	c := compiler{set: plain, say: func(rule int, field string, warning bool, format string, args ...any) {
 		bad = append(bad, Problem{rule, field, fmt.Sprintf(format, args...), warning})
-		wrong = wrong || !warning
+		failed = failed || !warning
 	}}
 	c.set.name = spec.Name
 	switch spec.Unserved {
@@ -57,22 +56,22 @@
 	default:
 		c.say(-1, "unserved", false, "%q is neither host nor gateway", spec.Unserved)
 	}
-	if len(spec.Rules) > mostRules {
-		c.say(-1, "rule", false, "%d rules are more than %d", len(spec.Rules), mostRules)
+	if len(spec.Rules) > maxRules {
+		c.say(-1, "rule", false, "%d rules are more than %d", len(spec.Rules), maxRules)
 		return nil, bad
 	}
 	for i := range spec.Rules {
 		c.rule(i, &spec.Rules[i])
 	}
-	if wrong {
+	if failed {
 		return nil, bad
 	}
 	c.link()
 	return &c.set, bad
 }
 
-// compiler lays out rules by status. A status is settled once a rule without a header has
-// matched it: later rules do not count for it.
+// compiler arranges rules by status. A status is settled once a rule without a header has matched
+// it: later rules are ignored for this status.
 type compiler struct {
 	set     Set
 	say     func(rule int, field string, warning bool, format string, args ...any)
@@ -81,12 +80,13 @@
 	lists   [1000][]headerRule
 }
 
-// change is what a rule makes of a meaning.
+// change holds the parts of a meaning that a rule overrides.
 type change struct {
 	gives, ran, health          int
 	hasGives, hasRan, hasHealth bool
 }
 
+// apply returns the meaning with the overrides applied.
 func (x *change) apply(m Meaning) Meaning {
 	if x.hasGives {
 		m.Disposition = Disposition(x.gives)
@@ -98,23 +98,23 @@
 		m.Health = Health(x.health)
 	}
 	if m.Ran == Never && m.Health == Good && m.Disposition != Final {
-		m.Health = Silent // it has shown nothing but that it turns away
+		m.Health = Silent // the host has shown only that it refuses requests
 	}
 	return m
 }
 
-// rule takes in one rule.
+// rule checks a rule and adds it to the tables.
 func (c *compiler) rule(i int, r *Rule) {
 	var x change
-	x.gives, x.hasGives = c.named(i, "answer", r.Answer, givesNames[:])
-	x.ran, x.hasRan = c.named(i, "ran", r.Ran, ranNames[:])
-	x.health, x.hasHealth = c.named(i, "health", r.Health, healthNames[:])
+	x.gives, x.hasGives = c.nameIndex(i, "answer", r.Answer, givesNames[:])
+	x.ran, x.hasRan = c.nameIndex(i, "ran", r.Ran, ranNames[:])
+	x.health, x.hasHealth = c.nameIndex(i, "health", r.Health, healthNames[:])
 	if r.Event != "" {
 		c.event(i, r, x.gives, x.hasGives)
 		return
 	}
 	if !x.hasGives && !x.hasRan && !x.hasHealth {
-		c.say(i, "", false, "the rule changes nothing: it wants answer, ran or health")
+		c.say(i, "", false, "the rule changes nothing: set answer, ran or health")
 		return
 	}
 	h, ok := c.header(i, r)
@@ -126,7 +126,7 @@
 		return
 	}
 	if x.hasRan && Ran(x.ran) == Never && h.op == Any && slices.ContainsFunc(statuses, func(s int) bool { return s != 421 && s != 425 }) {
-		c.say(i, "ran", true, "a status alone is taken for a proof that nothing ran: unsafe requests are sent again on it")
+		c.say(i, "ran", true, "a status alone is taken as proof that the request did not run: unsafe requests are retried on it")
 	}
 	hit := false
 	for _, status := range statuses {
@@ -148,12 +148,13 @@
 		}
 	}
 	if !hit {
-		c.say(i, "status", true, "rules before it decide all of its statuses")
+		c.say(i, "status", true, "earlier rules already cover all of its statuses")
 	}
 }
 
-// named is the place of a field's value among the names that it may have.
-func (c *compiler) named(i int, field, text string, names []string) (int, bool) {
+// nameIndex returns the index of a field's value among its valid names, and whether it was found. It
+// reports a problem if a value that is not empty is invalid.
+func (c *compiler) nameIndex(i int, field, text string, names []string) (int, bool) {
 	at := slices.Index(names, text)
 	if text != "" && at < 0 {
 		c.say(i, field, false, "%q is none of %s", text, strings.Join(names, ", "))
@@ -161,24 +162,25 @@
 	return at, at >= 0
 }
 
-// event reads a rule about an end without an answer.
+// event checks and applies a rule about an attempt that ended without an answer.
 func (c *compiler) event(i int, r *Rule, gives int, hasGives bool) {
 	at := slices.Index(eventNames[:], r.Event)
 	switch {
 	case at < 0:
 		c.say(i, "event", false, "%q is none of %s", r.Event, strings.Join(eventNames[:], ", "))
 	case len(r.Status) > 0 || r.Header != "" || r.Ran != "" || r.Health != "":
-		c.say(i, "event", false, "an event has no status and no header, and it has its own meaning but for answer")
+		c.say(i, "event", false, "an event has no status and no header, and only its answer can be set")
 	case !hasGives || Disposition(gives) == Hidden:
 		c.say(i, "answer", false, "an event is final (no further attempt) or spare (another may follow)")
 	case c.events[at]:
-		c.say(i, "event", true, "a rule before it decides %s", r.Event)
+		c.say(i, "event", true, "an earlier rule already covers %s", r.Event)
 	default:
 		c.events[at] = true
 		c.set.final[at] = Disposition(gives) == Final
 	}
 }
 
+// header compiles the header condition of a rule; ok is false if it is invalid.
 func (c *compiler) header(i int, r *Rule) (h headerRule, ok bool) {
 	conditions := 0
 	for _, set := range []bool{r.Equals != nil, r.Not != nil, r.Absent} {
@@ -188,15 +190,15 @@
 	}
 	switch {
 	case r.Header == "" && conditions > 0:
-		c.say(i, "header", false, "a value wants the header that has it")
+		c.say(i, "header", false, "a condition needs the header that it applies to")
 		return h, false
 	case r.Header == "":
 		return h, true
 	case !token(r.Header):
-		c.say(i, "header", false, "%q is no name of a header", r.Header)
+		c.say(i, "header", false, "%q is not a valid header name", r.Header)
 		return h, false
 	case conditions > 1:
-		c.say(i, "header", false, "one of equals, not and absent")
+		c.say(i, "header", false, "set only one of equals, not and absent")
 		return h, false
 	}
 	h.name, h.op = http.CanonicalHeaderKey(r.Header), Exists
@@ -211,7 +213,8 @@
 	return h, true
 }
 
-// statuses reads numbers and ranges.
+// statuses returns the statuses that a rule names, as numbers and ranges; ok is false if any is
+// invalid.
 func (c *compiler) statuses(i int, r *Rule) (list []int, ok bool) {
 	if len(r.Status) == 0 {
 		for s := 200; s < 1000; s++ {
@@ -239,7 +242,7 @@
 	return list, ok
 }
 
-// link gives each status the list of its rules with headers; equal ones share one.
+// link assigns to each status the list of its rules with headers; statuses with equal lists share one.
 func (c *compiler) link() {
 	for status, list := range c.lists {
 		if len(list) == 0 {
@@ -254,7 +257,7 @@
 	}
 }
 
-// token says whether a text is a field name (RFC 9110 section 5.6.2).
+// token reports whether a text is a valid field name (RFC 9110 section 5.6.2).
 func token(s string) bool {
 	return s != "" && !strings.ContainsFunc(s, func(c rune) bool {
 		return c <= ' ' || c > '~' || strings.ContainsRune(`"(),/:;<=>?@[\]{}`, c)
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,101 +1,104 @@
-// Package verdict says what a host's answer means, in three questions kept apart: is it the
-// answer that the client gets, did the request run, and what does it tell of the host. It is
-// the one place that does, for hosts of any protocol; what follows from the meaning is for
-// the exchange and the balancer. The package does no I/O, reads no clock and knows nothing
-// of requests, connections or pools.
+// Package verdict determines what a host's answer means, by three independent questions: does
+// the client get the answer, did the request run, and what does the answer show about the host's
+// health. It is the only package that does so, for hosts of any protocol; the exchange and the
+// balancer act on the result. The package contains pure decision logic: it performs no I/O, the
+// caller passes the time, and it does not depend on requests, connections or pools.
 //
-// verdict.go is meanings and the sets of rules that give them, compile.go makes a set from
-// what a configuration says, jury.go tells a host's fault from a request's, budget.go bounds
-// repeats, after.go reads Retry-After.
+// verdict.go holds meanings and the sets of rules that determine them, compile.go compiles a set
+// from a configuration, jury.go distinguishes faults of a host from faults of a request, budget.go
+// limits retries, and after.go parses Retry-After.
 package verdict
 
 import "net/http"
 
-// Disposition says what the client gets of an answer.
+// Disposition determines whether the client gets an answer.
 type Disposition uint8
 
-// What the client gets.
+// Dispositions.
 const (
-	// Final is the service's own answer: it goes to the client at once.
+	// Final means that the answer is the service's own and goes to the client at once.
 	Final Disposition = iota
-	// Spare is kept while another attempt may bring a better one, and goes to the client if
-	// none does.
+	// Spare means that the answer is kept while another attempt may yield a better one, and goes
+	// to the client if none does.
 	Spare
-	// Hidden never goes to the client: if no attempt does better, the gateway answers itself.
+	// Hidden means that the answer never goes to the client: if no attempt yields a better one,
+	// the gateway itself answers.
 	Hidden
 )
 
-// Ran says whether the request that was answered has run.
+// Ran tells whether the host has run the request that it answered.
 type Ran uint8
 
-// Whether it ran.
+// Values of Ran.
 const (
-	Yes   Ran = iota // it has
-	Maybe            // it may have: what an unsafe request may not survive twice
-	Never            // the host says that it has not, and this is taken for a proof
+	Yes   Ran = iota // the request has run
+	Maybe            // the request may have run; running an unsafe one twice may do harm
+	Never            // the host states that the request has not run, which is taken as proof
 )
 
-// Health says what an answer tells of the host that gave it.
+// Health is what an answer shows about the host that sent it.
 type Health uint8
 
-// What it tells.
+// Values of Health.
 const (
 	Good     Health = iota // the host works, and its latency counts
-	Fault                  // the host, or the request, is at fault: see Jury
-	Strained               // the host has more than it can do
-	Silent                 // nothing, not even by its latency
+	Fault                  // the host, or the request, is at fault: see OutlierDetector
+	Strained               // the host is overloaded
+	Silent                 // the answer shows nothing about the host, and its latency is ignored
 )
 
-// Meaning is the answer to the three questions.
+// Meaning holds the answers to the three questions of the package.
 type Meaning struct {
-	Disposition  Disposition
-	Ran    Ran
-	Health Health
+	Disposition Disposition
+	Ran         Ran
+	Health      Health
 }
 
-// Event is an end of an attempt without an answer.
+// Event is the way in which an attempt ended without an answer.
 type Event uint8
 
 // Events.
 const (
 	TimedOut  Event = iota // no answer in time
 	Reset                  // the connection broke after the request's last byte
-	Malformed              // an answer that can't be read, does not end or is too long
+	Malformed              // the answer could not be parsed, did not end or was too long
 	events
 )
 
-// Set is the meanings of all answers. It never changes, and any number of goroutines may
-// use it. A nil Set is the platform's.
+// Set determines the meanings of all answers. It is immutable and safe for concurrent use. A nil
+// Set is that of the platform's protocol.
 type Set struct {
 	name     string
-	status   [1000]Meaning // by status, where no header says otherwise
-	chains   [1000]uint16  // by status: rules that look at headers, 1 + an index in rules; 0: none
+	status   [1000]Meaning // by status, where no rule with a header matches
+	chains   [1000]uint16  // by status: 1 + the index in rules of the rules with a header; 0 means none
 	rules    [][]headerRule
 	final    [events]bool // no further attempt follows the event
-	fromHost bool         // when attempts are used up the client gets the last kept answer
-	blame    bool         // every Fault is the host's: there is no Jury
-	own      bool         // the meanings are the platform's: see Platform
+	fromHost bool         // when attempts are used up, the client gets the last Spare answer
+	blame    bool         // every Fault is the host's: no OutlierDetector is consulted
+	own      bool         // the set is that of the platform's protocol: see Platform
 }
 
+// headerRule is a compiled rule with a header condition.
 type headerRule struct {
-	name    string // canonical
+	name    string // in canonical form
 	op      Op
 	value   string
 	meaning Meaning
 }
 
-// Op says how a header's first value is matched.
+// Op is how a header's first value is matched.
 type Op uint8
 
-// Ops.
+// Values of Op.
 const (
-	Any    Op = iota // the rule looks at no header
-	Is               // it is there and has the value
-	IsNot            // it is missing or has another value
-	Exists           // it is there
-	Lacks            // it is missing
+	Any    Op = iota // the rule has no header condition
+	Is               // the header is present with the value
+	IsNot            // the header is missing or has another value
+	Exists           // the header is present
+	Lacks            // the header is missing
 )
 
+// holds reports whether the header fields meet the rule's condition.
 func (r *headerRule) holds(h http.Header) bool {
 	v := h[r.name]
 	switch r.op {
@@ -111,13 +114,13 @@
 	return true
 }
 
-// Judge says what an answer means. It allocates nothing.
+// Judge returns what an answer means. It does not allocate.
 func (s *Set) Judge(status int, header http.Header) Meaning {
 	if s == nil {
 		s = &platform
 	}
 	if status < 100 || status >= len(s.status) {
-		return Meaning{Hidden, Maybe, Fault} // no status at all
+		return Meaning{Hidden, Maybe, Fault} // not a valid status
 	}
 	if n := s.chains[status]; n > 0 {
 		for i := range s.rules[n-1] {
@@ -129,21 +132,21 @@
 	return s.status[status]
 }
 
-// Ends says whether no further attempt follows an event, whatever the class allows.
+// Ends reports whether no further attempt follows an event, whatever the class allows.
 func (s *Set) Ends(e Event) bool { return s != nil && s.final[e] }
 
-// FromHost says whether the client gets the last kept answer when attempts are used up, and
-// not the gateway's own.
+// FromHost reports whether the client gets the last Spare answer when attempts are used up,
+// rather than an answer of the gateway.
 func (s *Set) FromHost() bool { return s != nil && s.fromHost }
 
-// Blames says that every fault is the host's own.
+// Blames reports whether every fault is attributed to the host.
 func (s *Set) Blames() bool { return s == nil || s.blame }
 
-// IsPlatform says whether the meanings are the platform's: answers are then given as its protocol
-// has them and no other way.
+// IsPlatform reports whether the set is that of the platform's protocol. Answers are then only of
+// the forms that this protocol defines.
 func (s *Set) IsPlatform() bool { return s == nil || s.own }
 
-// Name is the name of the set in its configuration.
+// Name returns the name of the set in its configuration.
 func (s *Set) Name() string {
 	if s == nil {
 		return platform.name
@@ -151,8 +154,9 @@
 	return s.name
 }
 
-// platform is what the platform's protocol says of answers: 200 is served, 503 and 504 with
-// X-Unprocessed: 1 have not run, and anything else is an error that may have.
+// platform holds the meanings of the platform's protocol: 200 means that the request was served,
+// 503 and 504 with X-Unprocessed: 1 that it has not run, and anything else is an error after which
+// it may have run.
 var platform = func() Set {
 	s := Set{name: "platform", blame: true, own: true, rules: [][]headerRule{{
 		{"X-Unprocessed", Is, "1", Meaning{Hidden, Never, Strained}}}}}
@@ -164,31 +168,31 @@
 	return s
 }()
 
-// Platform is the set of the platform's protocol.
+// Platform returns the set of the platform's protocol.
 func Platform() *Set { return &platform }
 
-// plain is what answers of ordinary services mean (RFC 9110 section 15).
+// plain holds the meanings of the answers of ordinary services (RFC 9110 section 15).
 var plain = func() Set {
 	s := Set{name: "plain", fromHost: true}
 	for i := range s.status {
 		switch {
-		case i < 200: // 101, which nobody has asked for; the others are passed over
+		case i < 200: // 101, which was not requested; other 1xx never get here
 			s.status[i] = Meaning{Hidden, Maybe, Fault}
 		case i < 500:
 			s.status[i] = Meaning{Final, Yes, Good}
 		case i < 600:
 			s.status[i] = Meaning{Final, Yes, Silent}
-		default: // no class that is known: treated as 5xx (section 15)
+		default: // an unknown class is treated as 5xx (section 15)
 			s.status[i] = Meaning{Spare, Yes, Fault}
 		}
 	}
 	for status, m := range map[int]Meaning{
-		408: {Spare, Maybe, Silent}, // the host did not get the request in time, it says
-		421: {Spare, Never, Silent}, // it does not answer for this authority: anyone may ask elsewhere (15.5.20)
-		425: {Final, Never, Silent}, // too early (RFC 8470): the client knows what it risked
-		429: {Final, Yes, Silent},   // this client asks too much (RFC 6585): elsewhere it would as well
+		408: {Spare, Maybe, Silent}, // the host states that it did not receive the request in time
+		421: {Spare, Never, Silent}, // misdirected request: it may be retried elsewhere, whatever its method (15.5.20)
+		425: {Final, Never, Silent}, // too early (RFC 8470): the client chose to send early data and must retry
+		429: {Final, Yes, Silent},   // this client exceeds its rate (RFC 6585), and would at other hosts as well
 		500: {Spare, Yes, Fault},
-		502: {Spare, Maybe, Fault}, // of a host that asks further ones
+		502: {Spare, Maybe, Fault}, // from a host that is itself a gateway to others
 		503: {Spare, Maybe, Strained},
 		504: {Spare, Maybe, Fault},
 	} {
@@ -197,7 +201,7 @@
 	return s
 }()
 
-// Plain is the set for ordinary services.
+// Plain returns the set for ordinary services.
 func Plain() *Set { return &plain }
 
 var (
@@ -207,14 +211,14 @@
 	eventNames  = [...]string{"timeout", "reset", "malformed"}
 )
 
-// String names it as configurations do.
+// String returns the name used in configurations.
 func (g Disposition) String() string { return givesNames[g] }
 
-// String names it as configurations do.
+// String returns the name used in configurations.
 func (r Ran) String() string { return ranNames[r] }
 
-// String names it as configurations do.
+// String returns the name used in configurations.
 func (h Health) String() string { return healthNames[h] }
 
-// String names it as configurations do.
+// String returns the name used in configurations.
 func (e Event) String() string { return eventNames[e] }
--- a/internal/verdict/verdict_test.go
+++ b/internal/verdict/verdict_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// The meanings that RFC 9110 and the platform's protocol give, status by status.
+// The default meanings match RFC 9110 and the platform's protocol, for each status.
 func TestMeaningsByDefault(t *testing.T) {
 	for _, c := range []struct {
 		status int
@@ -44,15 +44,15 @@
 				t.Fatalf("the platform's %d with %v means %v, want %v", status, h, got, want)
 			}
 		}
-		// No default takes anything but 421 and 425 for a proof.
+		// By default only 421 and 425 prove that the request did not run.
 		if m := Plain().Judge(status, proof); m.Ran == Never && status != 421 && status != 425 {
-			t.Errorf("%d passes for a proof", status)
+			t.Errorf("%d is taken as proof that the request did not run", status)
 		}
 	}
 }
 
-// plainly is a set read off its rules one after the other, without tables.
-func plainly(s *Spec, status int, h http.Header) Meaning {
+// judgeByRules evaluates the rules of a spec one after the other, without tables.
+func judgeByRules(s *Spec, status int, h http.Header) Meaning {
 	m := plain.Judge(status, nil)
 	if status < 200 || status > 999 {
 		return m
@@ -116,7 +116,7 @@
 	return r
 }
 
-// The compiled tables say what the rules say, read one after the other.
+// The compiled tables give the same meanings as the rules evaluated one after the other.
 func TestCompiledAgainstRules(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		spec := Spec{Name: "s", Rules: rapid.SliceOfN(rapid.Custom(genRule), 0, 6).Draw(rt, "rules")}
@@ -135,7 +135,7 @@
 					h[name] = []string{rapid.SampledFrom([]string{"1", "", "2"}).Draw(rt, "v")}
 				}
 			}
-			if got, want := s.Judge(status, h), plainly(&spec, status, h); got != want {
+			if got, want := s.Judge(status, h), judgeByRules(&spec, status, h); got != want {
 				rt.Fatalf("%d with %v means %v, want %v by %+v", status, h, got, want, spec.Rules)
 			}
 		}
@@ -156,9 +156,9 @@
 		{Rule{Answer: "first"}, "answer", "none of"},
 		{Rule{Ran: "no"}, "ran", "none of"},
 		{Rule{Health: "ill"}, "health", "none of"},
-		{Rule{Equals: &one, Answer: "final"}, "header", "wants the header"},
-		{Rule{Header: "a b", Answer: "final"}, "header", "no name"},
-		{Rule{Header: "a", Equals: &one, Absent: true, Answer: "final"}, "header", "one of"},
+		{Rule{Equals: &one, Answer: "final"}, "header", "needs the header that it applies to"},
+		{Rule{Header: "a b", Answer: "final"}, "header", "not a valid header name"},
+		{Rule{Header: "a", Equals: &one, Absent: true, Answer: "final"}, "header", "set only one of"},
 		{Rule{Event: "crash", Answer: "final"}, "event", "none of"},
 		{Rule{Event: "reset", Status: []string{"500"}, Answer: "final"}, "event", "no status"},
 		{Rule{Event: "reset", Answer: "hidden"}, "answer", "final"},
@@ -176,7 +176,7 @@
 	}
 	s, problems := Compile(Spec{Name: "s", Rules: []Rule{{Status: []string{"503"}, Ran: "never"}, {Status: []string{"503"}, Answer: "final"}}})
 	if s == nil || len(problems) != 2 || !problems[0].Warning || !problems[1].Warning {
-		t.Errorf("a proof without a header, and a rule that decides nothing: %+v", problems)
+		t.Errorf("a proof without a header, and a rule without effect: %+v", problems)
 	}
 	s, _ = Compile(Spec{Name: "s", Unserved: "gateway", Rules: []Rule{{Event: "timeout", Answer: "final"}, {Event: "reset", Answer: "spare"}}})
 	if s == nil || !s.Ends(TimedOut) || s.Ends(Reset) || s.Ends(Malformed) || s.FromHost() {
@@ -184,7 +184,7 @@
 	}
 }
 
-// Whatever a configuration says, compiling ends and what comes of it judges every answer.
+// For any configuration, Compile returns, and the resulting set judges every answer.
 func FuzzCompile(f *testing.F) {
 	f.Add("500-599", "spare", "maybe", "fault", "X-A", "1", "", 503)
 	f.Add("5", "final", "never", "good", "", "", "reset", 0)
@@ -215,9 +215,9 @@
 	}
 }
 
-// Ten hosts for ten minutes: a request that fails wherever it goes, or a service that fails
-// everywhere, is held against nobody; a host that fails by itself is found at once, and the
-// memory does not grow with hosts that come and go.
+// With ten hosts over ten minutes, no host is blamed for requests that fail at every host or for a
+// service that fails everywhere; a host that fails alone is detected within a few answers, and the
+// records do not grow without bound as hosts come and go.
 func TestJury(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 2))
 	run := func(share func(host int, at time.Duration) float64) (blamed [10]int, first [10]int) {
@@ -241,7 +241,7 @@
 		return n
 	}
 	if blamed, _ := run(func(int, time.Duration) float64 { return 0.01 }); sum(blamed) > 60 {
-		t.Errorf("of 6000 requests that fail wherever they go %d are held against hosts: %v", sum(blamed), blamed)
+		t.Errorf("of 6000 requests that fail at any host, hosts are blamed for %d: %v", sum(blamed), blamed)
 	}
 	if blamed, _ := run(func(_ int, at time.Duration) float64 {
 		if at > time.Minute && at < 2*time.Minute {
@@ -249,7 +249,7 @@
 		}
 		return 0
 	}); sum(blamed) > 60000/20 {
-		t.Errorf("of a service that fails everywhere for a minute %d answers are held against hosts", sum(blamed))
+		t.Errorf("hosts are blamed for %d answers of a service that fails everywhere for a minute", sum(blamed))
 	}
 	blamed, first := run(func(h int, _ time.Duration) float64 {
 		if h == 3 {
@@ -265,7 +265,7 @@
 		j.Observe(time.Duration(i)*10*time.Millisecond, frostshift.HostID(i), i%2 == 0)
 	}
 	if j.Hosts() > 20_000 {
-		t.Errorf("%d hosts are remembered of those that answered once each", j.Hosts())
+		t.Errorf("%d records remain of hosts that answered once each", j.Hosts())
 	}
 	alone := NewOutlierDetector()
 	for i := range 100 {
@@ -275,29 +275,29 @@
 	}
 }
 
-// Repeats stay a share of what is asked, beside a few a second, whatever comes when.
+// Retries stay within a share of the requests plus MinRetryRate, for any sequence of calls.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		share := rapid.SampledFrom([]float64{0.05, 0.2, 1}).Draw(rt, "share")
 		b := NewBudget(share)
-		now, asked, repeats := frostshift.Time(time.Second), 0, 0
+		now, asked, retries := frostshift.Time(time.Second), 0, 0
 		for range rapid.IntRange(1, 500).Draw(rt, "steps") {
 			now += frostshift.Time(rapid.IntRange(0, 50).Draw(rt, "ms")) * time.Millisecond
 			if rapid.Bool().Draw(rt, "ask") {
 				b.RecordRequest()
 				asked++
 			} else if b.Take(now) {
-				repeats++
+				retries++
 			}
 		}
-		if most := firstSaved + share*float64(asked) + MinRetryRate*now.Seconds() + 1; float64(repeats) > most {
-			rt.Fatalf("%d repeats of %d, %v allowed", repeats, asked, most)
+		if most := initialSaved + share*float64(asked) + MinRetryRate*now.Seconds() + 1; float64(retries) > most {
+			rt.Fatalf("%d retries of %d requests, %v allowed", retries, asked, most)
 		}
 	})
 	var free Budget
 	for range 1000 {
 		if !free.Take(0) {
-			t.Fatal("the zero budget bounds")
+			t.Fatal("the zero budget refuses a retry")
 		}
 	}
 }
