--- a/internal/headers/forward.go
+++ b/internal/headers/forward.go
@@ -8,22 +8,25 @@
 	"github.com/gaissmai/bart"
 )
 
-// Forward tells hosts of clients. What a client says of whom it speaks for is dropped unless
-// it comes from an address that is trusted. A nil Forward changes nothing.
+// Forward sends information about clients to hosts, in forwarding fields. Forwarding fields of a
+// request are dropped unless its peer's address is trusted. A nil Forward changes nothing.
 type Forward struct {
-	// XForwarded sends X-Forwarded-For, -Proto and -Host; Standard sends Forwarded (RFC 7239).
+	// XForwarded enables X-Forwarded-For, -Proto and -Host, and a trusted proxy's
+	// X-Forwarded-Port. Standard enables Forwarded (RFC 7239).
 	XForwarded, Standard bool
-	// Trusted are the addresses of proxies whose word is taken.
+	// Trusted holds the addresses of proxies whose forwarding fields are accepted. Nil means none.
 	Trusted *bart.Lite
 }
 
-// mostChain bounds what is taken over of earlier hops, in bytes; a longer chain begins anew.
-const mostChain = 2 << 10
+// maxChain is the maximum length, in bytes, of the chain of earlier hops that is passed on. A
+// longer chain is dropped, and a new one begins.
+const maxChain = 2 << 10
 
-// told are the fields in which clients are told of; those that are not sent are dropped.
-var told = [...]string{"X-Forwarded-For", "X-Forwarded-Proto", "X-Forwarded-Host", "X-Forwarded-Port", "X-Real-Ip", "Forwarded"}
+// forwardingFields lists the forwarding fields. They are removed from each request before those that are
+// enabled are added. Apply refers to them by index.
+var forwardingFields = [...]string{"X-Forwarded-For", "X-Forwarded-Proto", "X-Forwarded-Host", "X-Forwarded-Port", "X-Real-Ip", "Forwarded"}
 
-// NewTrusted returns a set of address ranges.
+// NewTrusted returns a set of address ranges, for Forward.Trusted.
 func NewTrusted(ranges []netip.Prefix) *bart.Lite {
 	t := &bart.Lite{}
 	for _, p := range ranges {
@@ -32,12 +35,13 @@
 	return t
 }
 
+// trusts reports whether forwarding fields from the address are accepted.
 func (f *Forward) trusts(a netip.Addr) bool {
 	return f.Trusted != nil && a.IsValid() && f.Trusted.Contains(a.Unmap())
 }
 
-// Client is who asks, as far as it is known: the peer, or behind proxies that are trusted
-// the last address before them.
+// Client returns the address of the client as far as it is known: the peer or, if the peer is a
+// trusted proxy, the last address in X-Forwarded-For that is not one.
 func (f *Forward) Client(h http.Header, peer netip.Addr) netip.Addr {
 	peer = peer.Unmap()
 	if f == nil || !f.trusts(peer) {
@@ -47,7 +51,7 @@
 	for i := len(chain) - 1; i >= 0; i-- {
 		a, err := netip.ParseAddr(strings.TrimSpace(chain[i]))
 		if err != nil {
-			return peer // whoever wrote this, it is no address: the one that passed it on is known
+			return peer // not an address: use the hop that passed it on
 		}
 		if peer = a.Unmap(); !f.trusts(peer) {
 			return peer
@@ -56,25 +60,26 @@
 	return peer
 }
 
+// chainOf splits the values of a list field. It returns nil if there are none or they are too long.
 func chainOf(values []string) []string {
 	n := 0
 	for _, v := range values {
 		n += len(v) + 2
 	}
-	if n == 0 || n > mostChain {
+	if n == 0 || n > maxChain {
 		return nil
 	}
 	return strings.Split(strings.Join(values, ","), ",")
 }
 
-// Apply writes the fields of a request that goes on to a host.
+// Apply sets the forwarding fields of a request that is sent to a host.
 func (f *Forward) Apply(h http.Header, peer netip.Addr, scheme, host string) {
 	if f == nil {
 		return
 	}
-	var old [len(told)][]string
+	var old [len(forwardingFields)][]string
 	trusted := f.trusts(peer)
-	for i, name := range told {
+	for i, name := range forwardingFields {
 		if trusted {
 			old[i] = h[name]
 		}
@@ -104,14 +109,14 @@
 	}
 	if f.Standard {
 		hop := "for=" + node(peer) + ";host=" + quoted(host) + ";proto=" + scheme
-		if before := strings.Join(old[5], ", "); before != "" && len(before) <= mostChain && balanced(before) {
+		if before := strings.Join(old[5], ", "); before != "" && len(before) <= maxChain && balanced(before) {
 			hop = before + ", " + hop
 		}
 		h["Forwarded"] = []string{hop}
 	}
 }
 
-// node is an address as RFC 7239 section 6 has it.
+// node formats an address as in RFC 7239 section 6.
 func node(a netip.Addr) string {
 	switch {
 	case !a.IsValid():
@@ -122,7 +127,8 @@
 	return `"[` + a.WithZone("").String() + `]"`
 }
 
-// quoted is a value as a token, or as a quoted string where it is none.
+// quoted formats a value as a token or, if it is not one, as a quoted string without its control
+// and non-ASCII characters.
 func quoted(s string) string {
 	if token(s) {
 		return s
@@ -142,7 +148,8 @@
 	return b.String()
 }
 
-// balanced says whether no quoted string is left open, which would swallow what follows.
+// balanced reports whether every quoted string is closed. An open one would include the text that
+// is appended after it.
 func balanced(s string) bool {
 	open := false
 	for i := 0; i < len(s); i++ {
--- a/internal/headers/ops.go
+++ b/internal/headers/ops.go
@@ -6,29 +6,31 @@
 	"slices"
 )
 
-// Change is one thing to do to the fields of a message; one of Set, Add and Remove names
-// the field.
+// Change is one change to the header fields of a message. Exactly one of Set, Add and Remove is
+// not empty and names the field.
 type Change struct {
 	Set, Add, Remove string
-	To               string // a template
+	To               string // the value, a template
 }
 
-// Problem is something wrong with a Change.
+// Problem describes an error in a Change.
 type Problem struct {
-	Change int
-	Field  string // as configurations name it
+	Change int    // the index of the Change
+	Field  string // the name of the key in the configuration
 	Text   string
 }
 
-// Ops are changes, compiled. They apply in order, and a nil Ops changes nothing.
+// Ops is a compiled list of changes, applied in order. A nil Ops changes nothing. It is immutable.
 type Ops struct{ list []op }
 
+// op is a compiled Change.
 type op struct {
 	kind opKind
-	name string // canonical
-	to   *Template
+	name string    // in canonical form
+	to   *Template // nil if kind is remove
 }
 
+// opKind is the kind of a change.
 type opKind uint8
 
 const (
@@ -37,12 +39,13 @@
 	remove
 )
 
-// framing are the fields that say where messages end or are about one connection: each side
-// makes its own (RFC 9110 section 7.6.1, RFC 9113 section 8.2.2).
+// framing lists fields that a configuration may not change: those that frame messages or concern a
+// single connection, which each side sets itself (RFC 9110 section 7.6.1, RFC 9113 section 8.2.2),
+// and X-Time-Left, which the gateway sets.
 var framing = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Expect", "Content-Length", "X-Time-Left"}
 
-// CompileOps checks changes.
+// CompileOps checks and compiles changes. The Ops is nil if the list is empty or has a Problem.
 func CompileOps(list []Change) (*Ops, []Problem) {
 	if len(list) == 0 {
 		return nil, nil
@@ -53,26 +56,26 @@
 		say := func(field, format string, args ...any) {
 			bad = append(bad, Problem{i, field, fmt.Sprintf(format, args...)})
 		}
-		x, field, name, ways := op{}, "", "", 0
+		x, field, name, names := op{}, "", "", 0
 		for k, n := range [...]string{c.Set, c.Add, c.Remove} {
 			if n != "" {
-				ways++
+				names++
 				x.kind, name, field = opKind(k), n, [...]string{"set", "add", "remove"}[k]
 			}
 		}
 		x.name = http.CanonicalHeaderKey(name)
 		switch {
-		case ways != 1:
-			say("", "one of set, add and remove names the field")
+		case names != 1:
+			say("", "exactly one of set, add and remove must name the field")
 			continue
 		case !token(name):
-			say(field, "%q is no name of a field", name)
+			say(field, "%q is not a valid field name", name)
 		case slices.Contains(framing, x.name):
-			say(field, "%s is the gateway's own: it says how messages are framed or is about one connection", x.name)
+			say(field, "%s is set by the gateway: it concerns the framing of messages or a single connection", x.name)
 		case x.name == "Host":
-			say(field, "the pool's authority says what hosts get as Host")
+			say(field, "the Host sent to hosts is set by the pool's authority")
 		case x.kind == remove && c.To != "":
-			say("to", "what is removed has no value")
+			say("to", "a field that is removed has no value")
 		}
 		if x.kind != remove {
 			t, err := Compile(c.To)
@@ -89,8 +92,8 @@
 	return o, nil
 }
 
-// Apply changes the fields, all or, with an error, some. The header is the caller's; values
-// that others share are not written to.
+// Apply applies the changes to h. If it returns an error, some may have been applied. The map h
+// must belong to the caller; its slices of values may be shared, and are not modified.
 func (o *Ops) Apply(h http.Header, v *Vars) error {
 	if o == nil {
 		return nil
--- a/internal/headers/template.go
+++ b/internal/headers/template.go
@@ -1,9 +1,10 @@
-// Package headers decides what becomes of the header fields of messages on their way: which
-// are set, added and removed by route, what hosts are told of the client, and whose word on
-// that is taken. What it is given is compiled and checked once; applying it does no I/O and
-// reads no clock. It knows nothing of routes or pools but their names.
+// Package headers changes the header fields of messages that pass the gateway: it sets, adds and
+// removes fields by route, sends hosts information about the client, and determines from which
+// proxies such information is accepted. Configurations are checked and compiled once; applying them
+// performs no I/O and reads no clock. Of routes and pools the package uses only the names.
 //
-// template.go is values with variables, ops.go changes fields, forward.go tells of clients.
+// template.go holds values with variables, ops.go changes fields, and forward.go sends information
+// about clients.
 package headers
 
 import (
@@ -15,67 +16,71 @@
 	"strings"
 )
 
-// Vars are what a template may name.
+// Vars holds the values of the variables that a template may use.
 type Vars struct {
-	Client       netip.Addr // as far as it is known: see Forward.Client
+	Client       netip.Addr // as far as it is known, see Forward.Client
 	Scheme, Host string
 	Method       string
-	Path, Query  string // as they came
-	ID           string
+	Path, Query  string // as received
+	ID           string // of the request
 	Route, Pool  string
-	Status       int         // of the answer; 0: there is none yet
+	Status       int         // of the answer; 0 means that there is none yet
 	Header       http.Header // of the request
 }
 
-// mostValue is how long a value may become, in bytes.
-const mostValue = 8 << 10
+// maxValue is the maximum length of a value in bytes, and of a template's text.
+const maxValue = 8 << 10
 
-// ErrLong says that a value would become too long.
+// ErrLong is returned if a value or a template's text is longer than maxValue.
 var ErrLong = errors.New("a header field would be longer than 8 KiB")
 
-// Template is a text with variables, compiled.
+// Template is a compiled text with variables. It is immutable.
 type Template struct{ parts []part }
 
+// part is a literal text or a variable.
 type part struct {
-	text string // literal, where there is no variable
-	of   variable
-	name string // of a header
-	n    int    // of a segment
+	text     string // the literal text, if variable is literal
+	variable variable
+	name     string // canonical name of the header, if variable is varHeader
+	n        int    // number of the path segment from 1, if variable is varSegment
 }
 
+// variable is the kind of a part.
 type variable uint8
 
 const (
 	literal variable = iota
-	ofClient
-	ofScheme
-	ofHost
-	ofMethod
-	ofPath
-	ofQuery
-	ofURI
-	ofID
-	ofRoute
-	ofPool
-	ofStatus
-	ofHostname
-	ofQuestion
-	ofHeader
-	ofSegment
+	varClient
+	varScheme
+	varHost
+	varMethod
+	varPath
+	varQuery
+	varURI
+	varID
+	varRoute
+	varPool
+	varStatus
+	varHostname
+	varQuestion
+	varHeader
+	varSegment
 )
 
-var variables = map[string]variable{"client": ofClient, "scheme": ofScheme, "host": ofHost, "method": ofMethod, "path": ofPath,
-	"query": ofQuery, "uri": ofURI, "id": ofID, "route": ofRoute, "pool": ofPool, "status": ofStatus,
-	"hostname": ofHostname, "question": ofQuestion}
+// variables maps the names without a parameter to the variables.
+var variables = map[string]variable{"client": varClient, "scheme": varScheme, "host": varHost, "method": varMethod, "path": varPath,
+	"query": varQuery, "uri": varURI, "id": varID, "route": varRoute, "pool": varPool, "status": varStatus,
+	"hostname": varHostname, "question": varQuestion}
 
-// Compile reads a text in which ${name} stands for a variable and $$ for a dollar sign.
+// Compile compiles a text in which ${name} is a variable and $$ a dollar sign. It returns an error
+// for an unknown variable, a control character or a text that is too long.
 func Compile(text string) (*Template, error) {
 	t := &Template{}
-	if len(text) > mostValue {
+	if len(text) > maxValue {
 		return nil, ErrLong
 	}
 	if i := strings.IndexFunc(text, func(c rune) bool { return c < ' ' && c != '\t' || c == 0x7f }); i >= 0 {
-		return nil, fmt.Errorf("a control character at byte %d", i)
+		return nil, fmt.Errorf("control character at byte %d", i)
 	}
 	var plain strings.Builder
 	flush := func() {
@@ -98,7 +103,7 @@
 		inner, ok := strings.CutPrefix(rest, "{")
 		name, after, closed := strings.Cut(inner, "}")
 		if !ok || !closed {
-			return nil, errors.New("$ begins ${name}, or $$ for the sign itself")
+			return nil, errors.New("$ must begin ${name}; write $$ for a dollar sign")
 		}
 		flush()
 		p, err := compileVariable(name)
@@ -112,98 +117,102 @@
 	return t, nil
 }
 
+// compileVariable returns the part for a variable's name.
 func compileVariable(name string) (part, error) {
 	if v, ok := variables[name]; ok {
-		return part{of: v}, nil
+		return part{variable: v}, nil
 	}
 	if h, ok := strings.CutPrefix(name, "header."); ok && token(h) {
-		return part{of: ofHeader, name: http.CanonicalHeaderKey(h)}, nil
+		return part{variable: varHeader, name: http.CanonicalHeaderKey(h)}, nil
 	}
 	if s, ok := strings.CutPrefix(name, "path."); ok {
 		if n, err := strconv.Atoi(s); err == nil && n >= 1 && n <= 100 {
-			return part{of: ofSegment, n: n}, nil
+			return part{variable: varSegment, n: n}, nil
 		}
 	}
-	return part{}, fmt.Errorf("there is no ${%.40s} (known: client, scheme, host, hostname, method, path, path.1 and so on, query, question, uri, id, route, pool, status, header.NAME)", name)
+	return part{}, fmt.Errorf("unknown variable ${%.40s} (known: client, scheme, host, hostname, method, path, path.1 and so on, query, question, uri, id, route, pool, status, header.NAME)", name)
 }
 
-// Append appends the value to b. What a client has sent can begin no other field and end no
-// message: control characters come as %0D and the like.
+// Append appends the template's value to b. Control characters are percent-encoded, as %0D, so that
+// data sent by a client can neither start another field nor end the message. If the value is too
+// long, Append returns b as it was and ErrLong.
 func (t *Template) Append(b []byte, v *Vars) ([]byte, error) {
 	start := len(b)
 	for i := range t.parts {
 		p := &t.parts[i]
-		switch p.of {
+		switch p.variable {
 		case literal:
 			b = append(b, p.text...)
-		case ofClient:
+		case varClient:
 			if v.Client.IsValid() {
 				b = v.Client.AppendTo(b)
 			}
-		case ofStatus:
+		case varStatus:
 			if v.Status > 0 {
 				b = strconv.AppendInt(b, int64(v.Status), 10)
 			}
-		case ofURI:
-			b = appendSafe(b, v.Path)
+		case varURI:
+			b = appendEscaped(b, v.Path)
 			if v.Query != "" {
-				b = appendSafe(append(b, '?'), v.Query)
+				b = appendEscaped(append(b, '?'), v.Query)
 			}
 		default:
-			b = appendSafe(b, p.value(v))
+			b = appendEscaped(b, p.value(v))
 		}
-		if len(b)-start > mostValue {
+		if len(b)-start > maxValue {
 			return b[:start], ErrLong
 		}
 	}
 	return b, nil
 }
 
-// Expand is Append as a string.
+// Expand returns the template's value as a string, with the errors of Append.
 func (t *Template) Expand(v *Vars) (string, error) {
 	b, err := t.Append(nil, v)
 	return string(b), err
 }
 
+// value returns the value of a variable that is a text.
 func (p *part) value(v *Vars) string {
-	switch p.of {
-	case ofScheme:
+	switch p.variable {
+	case varScheme:
 		return v.Scheme
-	case ofHost:
+	case varHost:
 		return v.Host
-	case ofMethod:
+	case varMethod:
 		return v.Method
-	case ofPath:
+	case varPath:
 		return v.Path
-	case ofQuery:
+	case varQuery:
 		return v.Query
-	case ofHostname: // without the port
+	case varHostname: // the host in lower case, without the port
 		if i := strings.LastIndexByte(v.Host, ':'); i > strings.LastIndexByte(v.Host, ']') {
 			return strings.ToLower(v.Host[:i])
 		}
 		return strings.ToLower(v.Host)
-	case ofQuestion: // the query with its question mark, if there is one
+	case varQuestion: // the query with its question mark, empty if there is no query
 		if v.Query != "" {
 			return "?" + v.Query
 		}
 		return ""
-	case ofID:
+	case varID:
 		return v.ID
-	case ofRoute:
+	case varRoute:
 		return v.Route
-	case ofPool:
+	case varPool:
 		return v.Pool
-	case ofHeader:
+	case varHeader:
 		if x := v.Header[p.name]; len(x) > 0 {
 			return x[0]
 		}
-	case ofSegment:
+	case varSegment:
 		return segment(v.Path, p.n)
 	}
 	return ""
 }
 
-// segment is the nth segment of a path, decoded where that can be done.
+// segment returns the nth segment of a path, counted from 1, with valid percent-encodings decoded.
+// It is empty if the path has fewer segments.
 func segment(path string, n int) string {
 	for ; n > 0; n-- {
 		_, rest, ok := strings.Cut(path, "/")
@@ -230,8 +239,8 @@
 	return string(out)
 }
 
-// appendSafe appends a value that came from outside.
-func appendSafe(b []byte, s string) []byte {
+// appendEscaped appends s with its control characters, except tabs, percent-encoded.
+func appendEscaped(b []byte, s string) []byte {
 	const hex = "0123456789ABCDEF"
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < ' ' && c != '\t' || c == 0x7f {
@@ -243,7 +252,7 @@
 	return b
 }
 
-// token says whether a text is a field name (RFC 9110 section 5.6.2).
+// token reports whether a text is a valid field name (RFC 9110 section 5.6.2).
 func token(s string) bool {
 	for i := 0; i < len(s); i++ {
 		c := s[i]
