--- a/internal/headers/forward.go
+++ b/internal/headers/forward.go
@@ -41,7 +41,8 @@
 }
 
 // Client returns the address of the client as far as it is known: the peer or, if the peer is a
-// trusted proxy, the last address in X-Forwarded-For that is not one.
+// trusted proxy, the last address in X-Forwarded-For that is not one. If all of them
+// are trusted, it is the first.
 func (f *Forward) Client(h http.Header, peer netip.Addr) netip.Addr {
 	peer = peer.Unmap()
 	if f == nil || !f.trusts(peer) {
--- a/internal/headers/ops.go
+++ b/internal/headers/ops.go
@@ -39,9 +39,9 @@
 	remove
 )
 
-// framing lists fields that a configuration may not change: those that frame messages or concern a
-// single connection, which each side sets itself (RFC 9110 section 7.6.1, RFC 9113 section 8.2.2),
-// and X-Time-Left, which the gateway sets.
+// framing lists fields that a configuration may not change, as each side sets its own: fields that
+// frame messages or concern a single connection (RFC 9110 section 7.6.1, RFC 9113 section 8.2.2),
+// and X-Time-Left.
 var framing = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Te", "Trailer", "Transfer-Encoding", "Upgrade",
 	"Expect", "Content-Length", "X-Time-Left"}
 
--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -1,7 +1,7 @@
-// Package share divides a fixed amount of something (open requests, connections, bytes)
-// among holders: each has a guaranteed part that nobody else can use up, and the rest is
-// lent to whoever asks first. It does no I/O, reads no clock and knows nothing of what
-// it divides.
+// Package share divides a limited amount of a resource (open requests, connections, bytes) among
+// holders. Each holder has a guaranteed share that no other holder can use up, and the rest is lent
+// to whichever holder asks first. The package performs no I/O, reads no clock and does not depend
+// on the kind of resource.
 package share
 
 import (
@@ -9,91 +9,91 @@
 	"sync"
 )
 
-// Budget is an amount with its holders. It is safe for concurrent use.
+// Budget is an amount of a resource with its holders. It is safe for concurrent use.
 type Budget struct {
 	mu    sync.Mutex
 	total int64
-	// claimed is the sum over holders of the larger of what they hold and what they are
-	// guaranteed: what is above it may be lent.
+	// claimed is the sum over all holders of the larger of their used amount and their guaranteed
+	// share, plus what holders that have left still use. The rest of total may be lent.
 	claimed int64
-	used    int64 // by all, those that have left included
+	used    int64 // by all holders, including those that have left
 	holders map[*Holder]struct{}
 }
 
-// Holder is one of those that share a Budget. It is safe for concurrent use.
+// Holder is a user of a Budget. It is safe for concurrent use.
 type Holder struct {
-	b    *Budget
-	part int64 // guaranteed
-	used int64
+	b          *Budget
+	guaranteed int64 // the guaranteed share
+	used       int64
 }
 
-// New returns a budget over total, of which nothing is held.
+// New returns a budget over total, none of which is used.
 func New(total int64) *Budget {
 	return &Budget{total: total, holders: map[*Holder]struct{}{}}
 }
 
-// Total is the amount that is divided.
+// Total returns the amount that is divided.
 func (b *Budget) Total() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total
 }
 
-// Resize changes the amount. What is held stays held; while that is more than there is, nothing
-// is lent. Guarantees are for Divide to change.
+// Resize changes the total. Amounts in use stay in use; while they exceed the new total, nothing is
+// lent. The guaranteed shares do not change: call Divide for that.
 func (b *Budget) Resize(total int64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.total = total
 }
 
-// Holder returns one that has nothing and is guaranteed nothing until Divide says so.
+// Holder returns a new holder, which uses nothing and has no guaranteed share until Divide sets one.
 func (b *Budget) Holder() *Holder { return &Holder{b: b} }
 
-// Join adds a holder that is guaranteed part. Where others have borrowed so much that
-// the part is not free yet, it becomes so as they give back: they are lent nothing more
-// until then. It is an error if the guarantees together are more than there is.
-func (b *Budget) Join(part int64) (*Holder, error) {
+// Join adds a holder with a guaranteed share. If other holders have borrowed so much that the share
+// is not free yet, it becomes free as they return it, and until then nothing more is lent to them.
+// Join returns an error if the guaranteed shares together exceed the total.
+func (b *Budget) Join(guaranteed int64) (*Holder, error) {
 	h := b.Holder()
-	if err := b.Divide(map[*Holder]int64{h: part}); err != nil {
+	if err := b.Divide(map[*Holder]int64{h: guaranteed}); err != nil {
 		return nil, err
 	}
 	return h, nil
 }
 
-// Divide changes the guaranteed parts of some holders, new ones among them, all at once
-// or, with an error, not at all. What is held stays held.
-func (b *Budget) Divide(parts map[*Holder]int64) error {
+// Divide sets the guaranteed shares of some holders, which may be new, atomically: if it returns an
+// error, nothing has changed. Amounts in use stay in use.
+func (b *Budget) Divide(shares map[*Holder]int64) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var sum int64
 	for h := range b.holders {
-		if _, changes := parts[h]; !changes {
-			sum += h.part
+		if _, changes := shares[h]; !changes {
+			sum += h.guaranteed
 		}
 	}
-	for h, part := range parts {
-		if part < 0 || h.b != b {
-			return fmt.Errorf("share: a part of %d is none, or not of this budget", part)
+	for h, guaranteed := range shares {
+		if guaranteed < 0 || h.b != b {
+			return fmt.Errorf("share: a guaranteed share of %d is negative, or its holder belongs to another budget", guaranteed)
 		}
-		sum += part
+		sum += guaranteed
 	}
 	if sum > b.total {
-		return fmt.Errorf("share: %d are guaranteed, and there are %d", sum, b.total)
+		return fmt.Errorf("share: the guaranteed shares add up to %d, more than the total of %d", sum, b.total)
 	}
-	for h, part := range parts {
+	for h, guaranteed := range shares {
 		if _, old := b.holders[h]; old {
-			b.claimed -= max(h.part, h.used)
+			b.claimed -= max(h.guaranteed, h.used)
 		}
 		b.holders[h] = struct{}{}
-		h.part = part
-		b.claimed += max(h.part, h.used)
+		h.guaranteed = guaranteed
+		b.claimed += max(h.guaranteed, h.used)
 	}
 	return nil
 }
 
-// Leave ends a holder: its guarantee is free for others at once, and what it still holds
-// as it gives back.
+// Leave removes a holder. Its guaranteed share is free for others at once, and the amount that it
+// still uses becomes free as it calls Give.
 func (h *Holder) Leave() {
 	h.b.mu.Lock()
 	defer h.b.mu.Unlock()
@@ -101,16 +101,17 @@
 		return
 	}
 	delete(h.b.holders, h)
-	h.b.claimed += h.used - max(h.part, h.used)
-	h.part = 0
+	h.b.claimed += h.used - max(h.guaranteed, h.used)
+	h.guaranteed = 0
 }
 
-// Take holds n more and says whether it could: within the holder's own part always,
-// beyond it only what no other holder is guaranteed.
+// Take adds n to the amount that the holder uses, and reports whether it could. Beyond the holder's
+// guaranteed share, this succeeds only as far as the amount is neither used by other holders nor
+// guaranteed to them.
 func (h *Holder) Take(n int64) bool {
 	h.b.mu.Lock()
 	defer h.b.mu.Unlock()
-	more := max(h.part, h.used+n) - max(h.part, h.used)
+	more := max(h.guaranteed, h.used+n) - max(h.guaranteed, h.used)
 	if more > 0 && h.b.claimed+more > h.b.total {
 		return false
 	}
@@ -120,31 +121,31 @@
 	return true
 }
 
-// Give returns n of what is held.
+// Give returns n of the amount that the holder uses.
 func (h *Holder) Give(n int64) {
 	h.b.mu.Lock()
 	defer h.b.mu.Unlock()
-	h.b.claimed -= max(h.part, h.used) - max(h.part, h.used-n)
+	h.b.claimed -= max(h.guaranteed, h.used) - max(h.guaranteed, h.used-n)
 	h.used -= n
 	h.b.used -= n
 }
 
-// MostlyFree says whether less than half of the whole is held: a holder may then take more than it
-// needs at once.
+// MostlyFree reports whether less than half of the total is in use. A holder may then take more at a
+// time than it needs at the moment.
 func (h *Holder) MostlyFree() bool {
 	h.b.mu.Lock()
 	defer h.b.mu.Unlock()
 	return 2*h.b.used < h.b.total
 }
 
-// Used is what the holder has now.
+// Used returns the amount that the holder uses now.
 func (h *Holder) Used() int64 {
 	h.b.mu.Lock()
 	defer h.b.mu.Unlock()
 	return h.used
 }
 
-// Used is what all holders have together, those that have left included.
+// Used returns the amount that all holders use together, including those that have left.
 func (b *Budget) Used() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/share/share_test.go
+++ b/internal/share/share_test.go
@@ -6,9 +6,9 @@
 	"pgregory.net/rapid"
 )
 
-// Over any order of joining, taking, giving, changing and leaving: a holder always gets
-// what it is guaranteed and has not used, all of the rest can be lent, and no more than
-// the total is ever held unless a guarantee was given over what was lent already.
+// For any sequence of calls, a holder can always take the unused rest of its guaranteed share, the
+// entire remainder can be lent, and no more than the total is in use unless a share was guaranteed
+// that had already been lent.
 func TestGuaranteesHoldAndTheRestIsLent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.Int64Range(1, 40).Draw(t, "total")
@@ -16,9 +16,9 @@
 		type state struct{ part, used int64 }
 		model := map[*Holder]*state{}
 		var order []*Holder
-		left := int64(0) // what those that left still hold
-		var gone []*Holder
-		goneUsed := map[*Holder]int64{}
+		left := int64(0) // what holders that have left still use
+		var departed []*Holder
+		departedUsed := map[*Holder]int64{}
 		pick := func() *Holder { return order[rapid.IntRange(0, len(order)-1).Draw(t, "holder")] }
 		claimed := func() (n int64) {
 			for _, s := range model {
@@ -73,8 +73,8 @@
 				h := pick()
 				h.Leave()
 				left += model[h].used
-				goneUsed[h] = model[h].used
-				gone = append(gone, h)
+				departedUsed[h] = model[h].used
+				departed = append(departed, h)
 				delete(model, h)
 				for i := range order {
 					if order[i] == h {
@@ -82,28 +82,28 @@
 						break
 					}
 				}
-				if len(gone) > 1 { // an earlier one gives back what it still held
-					g := gone[0]
-					gone = gone[1:]
-					g.Give(goneUsed[g])
-					left -= goneUsed[g]
+				if len(departed) > 1 { // a holder that left earlier returns what it still uses
+					g := departed[0]
+					departed = departed[1:]
+					g.Give(departedUsed[g])
+					left -= departedUsed[g]
 				}
 			}
 			var sum int64
 			for h, s := range model {
 				if h.Used() != s.used {
-					t.Fatalf("holder has %d, want %d", h.Used(), s.used)
+					t.Fatalf("the holder uses %d, want %d", h.Used(), s.used)
 				}
 				sum += s.used
 			}
 			if b.Used() != sum+left {
-				t.Fatalf("%d are held, want %d", b.Used(), sum+left)
+				t.Fatalf("%d are in use, want %d", b.Used(), sum+left)
 			}
 		}
 	})
 }
 
-// A holder that takes all it can leaves the others what they are guaranteed.
+// A holder that takes all it can leaves the other holders their guaranteed shares.
 func TestGreedyHolderLeavesTheOthersTheirPart(t *testing.T) {
 	b := New(100)
 	greedy, err := b.Join(20)
@@ -119,17 +119,17 @@
 		n++
 	}
 	if n != 70 {
-		t.Errorf("the greedy one got %d, want all but the other's 30", n)
+		t.Errorf("the greedy holder got %d, want all but the other's 30", n)
 	}
 	for i := range 30 {
 		if !other.Take(1) {
-			t.Fatalf("the other one got %d of its 30", i)
+			t.Fatalf("the other holder got %d of its 30", i)
 		}
 	}
 	if other.Take(1) {
-		t.Error("more was held than there is")
+		t.Error("more than the total was taken")
 	}
 	if _, err := b.Join(60); err == nil {
-		t.Error("more than all was guaranteed")
+		t.Error("more than the total was guaranteed")
 	}
 }
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -189,7 +189,7 @@
 	for status, m := range map[int]Meaning{
 		408: {Spare, Maybe, Silent}, // the host states that it did not receive the request in time
 		421: {Spare, Never, Silent}, // misdirected request: it may be retried elsewhere, whatever its method (15.5.20)
-		425: {Final, Never, Silent}, // too early (RFC 8470): the client chose to send early data and must retry
+		425: {Final, Never, Silent}, // too early (RFC 8470): the client knows that it sent early data and may retry
 		429: {Final, Yes, Silent},   // this client exceeds its rate (RFC 6585), and would at other hosts as well
 		500: {Spare, Yes, Fault},
 		502: {Spare, Maybe, Fault}, // from a host that is itself a gateway to others
