--- a/internal/share/share.go
+++ b/internal/share/share.go
@@ -105,9 +105,9 @@
 	h.guaranteed = 0
 }
 
-// Take adds n to the amount that the holder uses, and reports whether it could. Beyond the holder's
-// guaranteed share, this succeeds only as far as the amount is neither used by other holders nor
-// guaranteed to them.
+// Take adds n to the amount that the holder uses, and reports whether it could. Within the
+// holder's guaranteed share it always succeeds; beyond it only as far as the amount is neither used
+// by other holders nor guaranteed to them.
 func (h *Holder) Take(n int64) bool {
 	h.b.mu.Lock()
 	defer h.b.mu.Unlock()
@@ -130,9 +130,9 @@
 	h.b.used -= n
 }
 
-// MostlyFree reports whether less than half of the total is in use. A holder may then take more at a
+// Roomy reports whether less than half of the total is in use. A holder may then take more at a
 // time than it needs at the moment.
-func (h *Holder) MostlyFree() bool {
+func (h *Holder) Roomy() bool {
 	h.b.mu.Lock()
 	defer h.b.mu.Unlock()
 	return 2*h.b.used < h.b.total
