--- a/internal/learning/learning.go
+++ b/internal/learning/learning.go
@@ -1,9 +1,10 @@
-// Package learning decides what of what a gateway had learned of hosts holds when its next process reads it: the form in
-// which it is kept, how it ages, and when it is worth nothing. It does no I/O and reads no clock, and knows neither files
-// nor gateways; what the figures mean is the balancer's.
+// Package learning encodes the learned state of a gateway's balancers for the gateway's next process, and determines how
+// much of it is still valid when that process reads it. It performs no I/O, the caller passes the time, and it depends
+// neither on files nor on gateways. The balancer defines the meaning of the values.
 //
-// Two clocks meet here. A balancer's figures bear ages, which go on while nobody runs; how long that was is told by the
-// wall clock alone, which may have been set meanwhile. What seems to come from the future, or from too long ago, is left.
+// Two clocks are involved. The balancer's values have ages, which also grow while no process runs. Only the wall clock
+// shows how long that was, and it may have been set in the meantime: state that seems to come from the future, or that is
+// too old, is ignored.
 package learning
 
 import (
@@ -19,57 +20,58 @@
 )
 
 const (
-	// MaxAge is the age from which on nothing that was kept is taken.
+	// MaxAge is the age beyond which saved state is ignored.
 	MaxAge = time.Hour
-	// fresh is the age up to which what was learned of the load of the moment holds: what is admitted, how late
-	// answers are, at which rate hosts served. Beyond it the hosts' figures alone are taken.
+	// fresh is the age up to which the state that depends on the current load is valid: the admitted share of
+	// requests, the lateness of answers, and the rate at which hosts served. Beyond it, this state is reset.
 	fresh = 10 * time.Second
-	// seedAge is the age of an estimate from which on it says nothing.
+	// seedAge is the age beyond which a host's estimates are discarded.
 	seedAge = 10 * time.Minute
 
+	// part and version identify the encoded state.
 	part    = "learned"
 	version = 1
 )
 
-// Pool is what is kept of a pool.
+// Pool is the saved state of a pool.
 type Pool struct {
-	List    *membership.List   `json:",omitempty"` // as it was last; nil: it has no version
+	List    *membership.List   `json:",omitempty"` // the last host list; nil means that it has no version
 	Learned *frostshift.Memory `json:",omitempty"`
-	// Repeats are saved up in its budget; nil: unknown.
+	// Repeats is the number of accumulated retries in the pool's retry budget; nil means unknown.
 	Repeats *float64 `json:",omitempty"`
 }
 
-// kept is the form.
+// kept is the saved state of all pools, by name, as encoded in JSON.
 type kept struct {
-	At    time.Time // by the wall clock
+	At    time.Time // when it was written, by the wall clock
 	Pools map[string]Pool
 }
 
-// Encode is what is written at an instant.
+// Encode returns the parts to save for the state at the given wall clock time.
 func Encode(at time.Time, pools map[string]Pool) ([]save.Part, error) {
 	data, err := json.Marshal(&kept{at, pools})
 	if err != nil {
-		return nil, fmt.Errorf("what was learned can't be written down: %w", err)
+		return nil, fmt.Errorf("cannot encode the learned state: %w", err)
 	}
 	return []save.Part{{Name: part, Version: version, Data: data}}, nil
 }
 
-// Errors that Decode ends with, besides others.
+// Errors that Decode returns, among others.
 var (
 	ErrNone   = errors.New("nothing was learned")
-	ErrFuture = errors.New("it is of a time to come: the clock was set back")
+	ErrFuture = errors.New("it is dated in the future: the clock was set back")
 	ErrOld    = fmt.Errorf("it is older than %v", MaxAge)
 )
 
-// Decode is what holds now of what was written, and its age. With ErrFuture and ErrOld nothing holds, and the pools are
-// as they were written.
+// Decode returns the saved state as far as it is still valid now, and its age. It returns ErrNone if the parts hold no
+// learned state. With ErrFuture and ErrOld none of the state is valid, and the pools are returned as they were saved.
 func Decode(now time.Time, parts []save.Part) (pools map[string]Pool, age time.Duration, err error) {
 	for _, p := range parts {
 		if p.Name != part {
 			continue
 		}
 		if p.Version != version {
-			return nil, 0, fmt.Errorf("it is of version %d, and %d is read", p.Version, version)
+			return nil, 0, fmt.Errorf("it is of version %d, but only version %d is supported", p.Version, version)
 		}
 		var k kept
 		if err := json.Unmarshal(p.Data, &k); err != nil {
@@ -86,7 +88,7 @@
 			if pool.Learned != nil {
 				pool.Learned = Aged(*pool.Learned, age)
 			}
-			if pool.Repeats != nil { // some come back by themselves
+			if pool.Repeats != nil { // the budget accumulates retries with time
 				pool.Repeats = new(*pool.Repeats + verdict.MinRetryRate*age.Seconds())
 			}
 			if pool.List != nil && (pool.List.Index == nil || pool.List.Check() != nil) {
@@ -99,7 +101,8 @@
 	return nil, 0, ErrNone
 }
 
-// Aged is a memory as it is so much later, age not below 0.
+// Aged returns the learned state as it is after the given time has passed, which must not be negative. It resets what is
+// no longer valid then, and does not modify the slices of m.
 func Aged(m frostshift.Memory, age time.Duration) *frostshift.Memory {
 	later := func(d time.Duration) time.Duration { return max(d, 0) + age }
 	evidence := func(e frostshift.EvidenceMemory) frostshift.EvidenceMemory { e.Age = later(e.Age); return e }
@@ -117,7 +120,7 @@
 	if age > fresh {
 		m.Admit, m.Served, m.ServedFor, m.Late = 1, 0, 0, frostshift.EvidenceMemory{}
 	}
-	m.Banned = nil // bans are kept with what operators said, which may be later
+	m.Banned = nil // bans are saved with the operators' overrides, which may be newer
 	for _, h := range old.Hosts {
 		h.Age, h.ColdFor, h.HeardAge = later(h.Age), later(h.ColdFor), later(h.HeardAge)
 		h.Out = max(h.Out-age, 0)
--- a/internal/learning/learning_test.go
+++ b/internal/learning/learning_test.go
@@ -18,8 +18,8 @@
 			{ID: 2, RTT: 0.1, Age: seedAge, Limit: 3}}}
 }
 
-// What was written a while ago is that much older: ejections have run on, an estimate that is too old is none, and the load of
-// then is not that of now.
+// Saved state ages by the time since it was written: remaining ejections become shorter, estimates that are too old are
+// discarded, and state that depends on the load is reset.
 func TestWhatWasLearnedAges(t *testing.T) {
 	at := time.Now()
 	parts, err := Encode(at, map[string]Pool{"p": {Learned: new(memory()), Repeats: new(2.5)}})
@@ -33,7 +33,7 @@
 			t.Fatalf("after %v: age %v, %v", after, age, err)
 		}
 		if got, want := *pools["p"].Repeats, 2.5+after.Seconds(); got != want {
-			t.Errorf("after %v %.1f repeats are saved up, want %.1f", after, got, want)
+			t.Errorf("after %v %.1f retries are accumulated, want %.1f", after, got, want)
 		}
 		return pools["p"].Learned
 	}
@@ -42,7 +42,7 @@
 		t.Errorf("a host after 2 s: %+v", h)
 	}
 	if !m.Hosts[1].Fresh {
-		t.Error("an estimate of ten minutes holds")
+		t.Error("an estimate that is older than ten minutes is still used")
 	}
 	if m.Admit != 0.4 || m.Served != 9 || m.ServedAge != 2*time.Second || m.Classes[0].Age != 2*time.Second || len(m.Banned) > 0 {
 		t.Errorf("after 2 s: %+v", m)
@@ -57,7 +57,7 @@
 	}
 }
 
-// Other forms are no reason to stop: they are said to be what they are.
+// For state that cannot be used, Decode returns an error that names the cause.
 func TestOtherFormsAreLeft(t *testing.T) {
 	text, _ := json.Marshal(&kept{time.Now(), nil})
 	for _, c := range []struct {
@@ -73,11 +73,11 @@
 		}
 	}
 	if _, _, err := Decode(time.Now(), nil); !errors.Is(err, ErrNone) {
-		t.Errorf("nothing at all: %v", err)
+		t.Errorf("without any parts: %v", err)
 	}
 }
 
-// Whatever is in the file, a balancer that takes it decides as before.
+// For any content of the file, a balancer can restore the decoded state without a panic.
 func FuzzDecode(f *testing.F) {
 	text, _ := json.Marshal(&kept{time.Now(), map[string]Pool{"p": {Learned: new(memory())}}})
 	f.Add(text)
