--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -1,68 +1,73 @@
-// Package drain decides how a gateway gives its clients up and takes them back: what it says
-// of itself, whether answers end their connections, and how many idle connections are to be
-// closed by when. It does no I/O, reads no clock and holds no connection.
+// Package drain determines how a gateway drains its client connections and returns to service:
+// whether it reports itself ready, whether answers end their connections, and how many idle
+// connections to close by when. It is pure decision logic: it performs no I/O, the caller passes
+// the time, and it holds no connections.
 //
-// A client learns at three places that a gateway leaves: from the front, which asks whether
-// it is ready, from an answer that ends its connection, and from the close of one that is
-// idle. They are used in this order, as only the last can cross a request.
+// Clients move away from a draining gateway in three ways: the front load balancer's readiness
+// check fails, an answer ends its connection, or an idle connection is closed. They are used in this
+// order, as only the last can coincide with a new request on the connection.
 package drain
 
 import "time"
 
-// State is how far a gateway has given its clients up.
+// State is the stage of a drain.
 type State uint8
 
-// States. A gateway goes from each to the next by time alone, and back to Working from any
-// by the order to.
+// States. The time alone moves a draining gateway from each state to the next; Drain leaves Working,
+// and Resume returns to it from any state.
 const (
 	Working State = iota
-	Leaving       // it says that it is not ready; new connections still come, answers end theirs
-	Closing       // idle connections are closed, spread over the time
-	Drained       // a connection ends as soon as it is idle
+	Leaving       // it reports that it is not ready; new connections still arrive, answers end theirs
+	Closing       // idle connections are closed, spread evenly over ClosingFor
+	Drained       // each connection is closed as soon as it is idle
 )
 
 var stateNames = [...]string{"working", "leaving", "closing", "drained"}
 
-// String names the state, for logs and tables.
+// String returns the name of the state, for logs and tables.
 func (s State) String() string { return stateNames[s] }
 
 const (
-	// LeavingFor is how long new connections are reckoned with: a front asks ten times a second
-	// and goes on for 0.2 s behind a no.
+	// LeavingFor is how long new connections are expected: the front load balancer checks
+	// readiness ten times per second and continues to send connections for 0.2 s after a failure.
 	LeavingFor = 500 * time.Millisecond
-	// ClosingFor is how long the closes of idle connections are spread over: all have gone 2 s
-	// behind the order, and what they carry is younger than the 4 s that are given.
+	// ClosingFor is the time over which the closes of idle connections are spread: all of these are
+	// closed within 2 s of the order, and a request on one of them is younger than the 4 s that
+	// are allowed.
 	ClosingFor = 1300 * time.Millisecond
-	// StepInterval is how often Step wants to be called while the gateway gives its clients up.
+	// StepInterval is the interval at which the caller must call Step while the gateway drains.
 	StepInterval = 50 * time.Millisecond
-	// SilentAfter is how long a connection that has said nothing may stay behind Leaving.
+	// SilentAfter is how long a connection without any request may stay open once the gateway has
+	// passed the state Leaving.
 	SilentAfter = 300 * time.Millisecond
 )
 
-// Machine is the state of one gateway. The zero value works. It is not safe for concurrent use.
+// Machine is the drain state machine of one gateway. The zero value is in the state Working. A Machine
+// is not safe for concurrent use.
 type Machine struct {
 	state State
-	since time.Duration // when Leaving began
+	since time.Duration // the time of the order, when Leaving began
 }
 
-// State is how things stand as of the last call.
+// State returns the state as of the last call of Drain, Resume or Step.
 func (m *Machine) State() State { return m.state }
 
-// Ready says whether new clients are wanted.
+// Ready reports whether the gateway accepts new clients.
 func (m *Machine) Ready() bool { return m.state == Working }
 
-// Drain is the order to give the clients up. It changes nothing where that is under way.
+// Drain begins to drain the gateway. It does nothing if a drain is already in progress.
 func (m *Machine) Drain(now time.Duration) {
 	if m.state == Working {
 		m.state, m.since = Leaving, now
 	}
 }
 
-// Resume is the order to take clients again.
+// Resume puts the gateway back into service.
 func (m *Machine) Resume() { m.state = Working }
 
-// Step moves on with the time, and says how many of the connections that are idle now are to
-// be closed, and whether silent ones are, so that the closes are spread evenly.
+// Step advances the state to the given time. It returns how many of the connections that are idle
+// now are to be closed, so that the closes are spread evenly, and whether to close connections that
+// have been without any request for SilentAfter.
 func (m *Machine) Step(now time.Duration, idle int) (closes int, silent bool) {
 	age := now - m.since
 	switch {
@@ -73,7 +78,7 @@
 		return 0, false
 	case age < LeavingFor+ClosingFor:
 		m.state = Closing
-		left := int((LeavingFor + ClosingFor - age + StepInterval - 1) / StepInterval) // steps, this one included
+		left := int((LeavingFor + ClosingFor - age + StepInterval - 1) / StepInterval) // remaining steps, including this one
 		return (idle + left - 1) / left, true
 	}
 	m.state = Drained
--- a/internal/drain/schedule.go
+++ b/internal/drain/schedule.go
@@ -3,30 +3,30 @@
 import "time"
 
 const (
-	// mostDeadline is the longest deadline that an order to stop waits for.
-	mostDeadline = 3 * time.Second
-	// killBehind is how long behind that deadline a process may be killed at the earliest.
-	killBehind = 700 * time.Millisecond
-	// answerAhead is how long before the kill the last answers begin to go out: a machine that is
-	// short of processor time may stand still for half of it.
-	answerAhead = 300 * time.Millisecond
-	// closeAhead is how long before the kill connections that still have something open are closed.
-	closeAhead = 200 * time.Millisecond
+	// maxDeadline is the longest deadline that is waited for after an order to stop.
+	maxDeadline = 3 * time.Second
+	// killDelay is the time from that deadline to the earliest moment at which the process may be killed.
+	killDelay = 700 * time.Millisecond
+	// answerLead is how long before the kill the last answers begin to be sent: the process may be
+	// stalled for half of this time on a machine that is short of CPU time.
+	answerLead = 300 * time.Millisecond
+	// closeLead is how long before the kill connections with open requests are closed.
+	closeLead = 200 * time.Millisecond
 )
 
-// Schedule says when a process that is ordered to stop does what. Times count from the order.
+// Schedule holds the times of the steps of a process's shutdown, counted from the order to stop.
 type Schedule struct {
-	Accept time.Duration // up to then new connections are taken
-	// Answer is when each request that is open gets its answer at the latest. From then on nothing is
-	// sent to a host, and a request that is read is refused.
+	Accept time.Duration // until then new connections are accepted
+	// Answer is the latest time at which each open request is answered. From then on nothing is sent
+	// to a host, and newly read requests are refused.
 	Answer time.Duration
-	Close  time.Duration // what is still open is closed
+	Close  time.Duration // when connections that are still open are closed
 }
 
-// ScheduleFor is the schedule of a process whose longest deadline is given: it has ended before the kill,
-// which follows the order by that deadline, or by 3 s if that is shorter, and 0.7 s more.
+// ScheduleFor returns the schedule of a process whose longest request deadline is given. The process
+// ends before the kill, which comes 0.7 s after that deadline, and 3.7 s after the order at most.
 func ScheduleFor(longest time.Duration) Schedule {
-	kill := min(longest, mostDeadline) + killBehind
-	answer := kill - answerAhead
-	return Schedule{Accept: min(LeavingFor, answer), Answer: answer, Close: kill - closeAhead}
+	kill := min(longest, maxDeadline) + killDelay
+	answer := kill - answerLead
+	return Schedule{Accept: min(LeavingFor, answer), Answer: answer, Close: kill - closeLead}
 }
--- a/internal/drain/schedule_test.go
+++ b/internal/drain/schedule_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Whatever the longest deadline is, a process is done before the earliest kill, and with deadlines of
-// up to 3 s a request that is taken in the first 0.4 s may use up its time.
+// For any longest deadline, a process ends before the earliest kill, and with deadlines of up to 3 s
+// a request that is accepted in the first 0.4 s can use its whole deadline.
 func TestScheduleEndsBeforeTheKill(t *testing.T) {
 	for longest := time.Duration(0); longest < 12*time.Second; longest += 10 * time.Millisecond {
 		kill := min(longest, 3*time.Second) + 700*time.Millisecond
@@ -15,7 +15,7 @@
 			t.Fatalf("longest %v: %+v, killed at %v", longest, s, kill)
 		}
 		if s.Accept < 400*time.Millisecond || s.Answer < min(longest, 3*time.Second)+400*time.Millisecond {
-			t.Fatalf("longest %v: %+v gives up too early", longest, s)
+			t.Fatalf("longest %v: %+v ends too early", longest, s)
 		}
 	}
 }
