--- a/internal/exchange/pool.go
+++ b/internal/exchange/pool.go
@@ -73,7 +73,7 @@
 	sched       *contract.Scheduler // nil if there are no contracts
 	fleetShare  *contract.FleetShare
 	limiter     *contract.Limiter
-	jury        *verdict.Jury
+	jury        *verdict.OutlierDetector
 	retryBudget verdict.Budget
 	capacityAt  frostshift.Time // when the scheduler was last given the capacity
 	dispatchAt  frostshift.Time // when the scheduler is due again; 0 means with the next event
@@ -145,7 +145,7 @@
 	p := &Pool{name: c.Name, set: c.Settings, log: c.Log, failureLog: eventlog.New(c.Log), clock: x.clock, x: x, b: b, upstream: c.Upstream,
 		room: c.Room, watch: c.Watch, onHostSeen: c.HostSeen, onAttemptEnd: c.AttemptEnded, onInFlightChange: c.InFlightChanged, learned: c.Learned, sched: c.Scheduler, fleetShare: c.FleetShare, limiter: c.Limiter, advice: c.Settings.MaxRetryAfter,
 		events: make(chan event, 1024), quit: make(chan struct{}), done: make(chan struct{}),
-		calls: map[frostshift.RequestID]*Call{}, jury: verdict.NewJury(), retryBudget: verdict.NewBudget(c.Repeats)}
+		calls: map[frostshift.RequestID]*Call{}, jury: verdict.NewOutlierDetector(), retryBudget: verdict.NewBudget(c.Repeats)}
 	if c.RetryShare != nil {
 		p.retryBudget.Share(c.RetryShare)
 	}
--- a/internal/gateway/clients.go
+++ b/internal/gateway/clients.go
@@ -31,7 +31,7 @@
 	case c.stopped || c.handed:
 		return
 	default:
-		c.machine.Back()
+		c.machine.Resume()
 	}
 	g.admission.SetLeaving(up)
 	for _, s := range g.present() {
@@ -84,7 +84,7 @@
 
 // step moves the machine on until the clients are taken back or the gateway ends.
 func (c *clients) step() {
-	tick := time.NewTicker(drain.Every)
+	tick := time.NewTicker(drain.StepInterval)
 	defer tick.Stop()
 	for {
 		select {
