--- a/internal/emulator/gossip.go
+++ b/internal/emulator/gossip.go
@@ -70,7 +70,7 @@
 				g.until = 0 // what is heard may change when the view does next
 				switch {
 				case reached:
-					g.peers.Heard(w.now-w.begin, peers.Member{Name: w.name(j)})
+					g.peers.MarkAlive(w.now-w.begin, peers.Member{Name: w.name(j)})
 				default:
 					g.peers.Gone(w.now-w.begin, w.name(j), false, "")
 				}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -248,7 +248,7 @@
 		if leaves {
 			r.Gone(now, name, true, "")
 		} else {
-			r.Heard(now, m)
+			r.MarkAlive(now, m)
 		}
 	}
 	for _, m := range r.Members(now) {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -184,8 +184,8 @@
 	return r
 }
 
-// Heard says that detection holds a member to be alive, with what it says of itself.
-func (r *Registry) Heard(now time.Duration, m Member) {
+// MarkAlive says that detection holds a member to be alive, with what it says of itself.
+func (r *Registry) MarkAlive(now time.Duration, m Member) {
 	if m.Name == r.cfg.Self.Name || m.Name == "" {
 		return
 	}
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -22,7 +22,7 @@
 	}
 	r := New(0, cfg)
 	for i := 1; i < n; i++ {
-		r.Heard(0, Member{Name: name(i)})
+		r.MarkAlive(0, Member{Name: name(i)})
 	}
 	r.Tick(2 * s)
 	return r
@@ -43,7 +43,7 @@
 		{"one suspected", func(r *Registry) time.Duration { r.Suspected(61*s, name(3)); return 61 * s }, want{false, 10, 9, 10, 10, Whole}},
 		{"one that lives after all", func(r *Registry) time.Duration {
 			r.Suspected(61*s, name(3))
-			r.Heard(62*s, Member{Name: name(3)})
+			r.MarkAlive(62*s, Member{Name: name(3)})
 			return 62 * s
 		}, want{false, 10, 10, 10, 10, Whole}},
 		{"one failed keeps its place for a restart", func(r *Registry) time.Duration { r.Gone(61*s, name(3), false, ""); return 70 * s }, want{false, 10, 9, 10, 9, Whole}},
@@ -75,13 +75,13 @@
 			}
 			return 80 * s
 		}, want{false, 10, 5, 10, 4, Minority}},
-		{"a new one gets its place when it has stayed", func(r *Registry) time.Duration { r.Heard(61*s, Member{Name: "new"}); return 62 * s }, want{false, 10, 11, 11, 11, Whole}},
-		{"... after two seconds", func(r *Registry) time.Duration { r.Heard(61*s, Member{Name: "new"}); return 63 * s }, want{false, 11, 11, 11, 11, Whole}},
+		{"a new one gets its place when it has stayed", func(r *Registry) time.Duration { r.MarkAlive(61*s, Member{Name: "new"}); return 62 * s }, want{false, 10, 11, 11, 11, Whole}},
+		{"... after two seconds", func(r *Registry) time.Duration { r.MarkAlive(61*s, Member{Name: "new"}); return 63 * s }, want{false, 11, 11, 11, 11, Whole}},
 		{"one that flaps keeps its place", func(r *Registry) time.Duration {
 			for i := range 60 {
 				r.Gone(61*s+time.Duration(2*i)*s, name(3), false, "")
 				r.Tick(61*s + time.Duration(2*i)*s)
-				r.Heard(62*s+time.Duration(2*i)*s, Member{Name: name(3)})
+				r.MarkAlive(62*s+time.Duration(2*i)*s, Member{Name: name(3)})
 				r.Tick(62*s + time.Duration(2*i)*s)
 			}
 			return 182 * s
@@ -109,7 +109,7 @@
 	if v := r.View(); !v.Typed || v.Count != 40 || v.Least != 40 || v.Most != 40 || v.Place != 0.25 {
 		t.Fatalf("nobody is heard: %+v", v)
 	}
-	r.Heard(s, Member{Name: "b"})
+	r.MarkAlive(s, Member{Name: "b"})
 	r.Tick(s)
 	if v := r.View(); !v.Typed {
 		t.Fatalf("it has not settled: %+v", v)
@@ -136,7 +136,7 @@
 			who := name(rapid.IntRange(0, 30).Draw(t, "who"))
 			switch rapid.IntRange(0, 4).Draw(t, "event") {
 			case 0:
-				r.Heard(now, Member{Name: who, Started: int64(now)})
+				r.MarkAlive(now, Member{Name: who, Started: int64(now)})
 			case 1:
 				r.Suspected(now, who)
 			case 2:
@@ -183,7 +183,7 @@
 			r := New(0, Config{Self: Member{Name: name(self)}})
 			for i := range n {
 				if i != self && i != without {
-					r.Heard(0, Member{Name: name(i)})
+					r.MarkAlive(0, Member{Name: name(i)})
 				}
 			}
 			r.Tick(3 * s)
@@ -214,7 +214,7 @@
 			if i%2 == 0 {
 				r.Gone(at, name(n), false, "")
 			} else {
-				r.Heard(at, Member{Name: name(n - 1), Started: off - off/2*int64(i), Most: 1})
+				r.MarkAlive(at, Member{Name: name(n - 1), Started: off - off/2*int64(i), Most: 1})
 			}
 			r.Tick(at)
 			list = append(list, r.View())
