--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -201,8 +201,8 @@
 	r.set(now, x, Alive, "answers")
 }
 
-// Suspected says that a member did not answer, and may yet.
-func (r *Registry) Suspected(now time.Duration, name string) {
+// MarkSuspected says that a member did not answer, and may yet.
+func (r *Registry) MarkSuspected(now time.Duration, name string) {
 	if x := r.members[name]; x != nil && x.state == Alive && name != r.cfg.Self.Name {
 		x.reached = now
 		r.set(now, x, Suspected, "does not answer")
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -40,9 +40,9 @@
 		want want
 	}{
 		{"all there", func(r *Registry) time.Duration { return 61 * s }, want{false, 10, 10, 10, 10, Whole}},
-		{"one suspected", func(r *Registry) time.Duration { r.Suspected(61*s, name(3)); return 61 * s }, want{false, 10, 9, 10, 10, Whole}},
+		{"one suspected", func(r *Registry) time.Duration { r.MarkSuspected(61*s, name(3)); return 61 * s }, want{false, 10, 9, 10, 10, Whole}},
 		{"one that lives after all", func(r *Registry) time.Duration {
-			r.Suspected(61*s, name(3))
+			r.MarkSuspected(61*s, name(3))
 			r.MarkAlive(62*s, Member{Name: name(3)})
 			return 62 * s
 		}, want{false, 10, 10, 10, 10, Whole}},
@@ -138,7 +138,7 @@
 			case 0:
 				r.MarkAlive(now, Member{Name: who, Started: int64(now)})
 			case 1:
-				r.Suspected(now, who)
+				r.MarkSuspected(now, who)
 			case 2:
 				r.Gone(now, who, false, "")
 			case 3:
