--- a/internal/emulator/gossip.go
+++ b/internal/emulator/gossip.go
@@ -72,7 +72,7 @@
 				case reached:
 					g.peers.MarkAlive(w.now-w.begin, peers.Member{Name: w.name(j)})
 				default:
-					g.peers.Gone(w.now-w.begin, w.name(j), false, "")
+					g.peers.MarkGone(w.now-w.begin, w.name(j), false, "")
 				}
 			})
 		}
--- a/internal/gossip/gossip.go
+++ b/internal/gossip/gossip.go
@@ -246,7 +246,7 @@
 			b.line(&b.strange, "gossip: "+err.Error(), "member", name)
 		}
 		if leaves {
-			r.Gone(now, name, true, "")
+			r.MarkGone(now, name, true, "")
 		} else {
 			r.MarkAlive(now, m)
 		}
@@ -258,7 +258,7 @@
 		b.mu.Lock()
 		delete(b.rtts, m.Name)
 		b.mu.Unlock()
-		r.Gone(now, m.Name, false, "")
+		r.MarkGone(now, m.Name, false, "")
 	}
 }
 
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -209,8 +209,8 @@
 	}
 }
 
-// Gone says that a member left, by its own word, or that detection gave it up.
-func (r *Registry) Gone(now time.Duration, name string, said bool, reason string) {
+// MarkGone says that a member left, by its own word, or that detection gave it up.
+func (r *Registry) MarkGone(now time.Duration, name string, said bool, reason string) {
 	x := r.members[name]
 	if x == nil || name == r.cfg.Self.Name {
 		return
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -46,32 +46,32 @@
 			r.MarkAlive(62*s, Member{Name: name(3)})
 			return 62 * s
 		}, want{false, 10, 10, 10, 10, Whole}},
-		{"one failed keeps its place for a restart", func(r *Registry) time.Duration { r.Gone(61*s, name(3), false, ""); return 70 * s }, want{false, 10, 9, 10, 9, Whole}},
-		{"one failed loses its place", func(r *Registry) time.Duration { r.Gone(61*s, name(3), false, ""); return 71 * s }, want{false, 9, 9, 10, 9, Whole}},
-		{"one failed may be cut off for a window", func(r *Registry) time.Duration { r.Gone(61*s, name(3), false, ""); return 121 * s }, want{false, 9, 9, 9, 9, Whole}},
-		{"one that said so", func(r *Registry) time.Duration { r.Gone(61*s, name(3), true, ""); return 61 * s }, want{false, 9, 9, 10, 9, Whole}},
-		{"... has ended what it had begun", func(r *Registry) time.Duration { r.Gone(61*s, name(3), true, ""); return 66 * s }, want{false, 9, 9, 9, 9, Whole}},
+		{"one failed keeps its place for a restart", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), false, ""); return 70 * s }, want{false, 10, 9, 10, 9, Whole}},
+		{"one failed loses its place", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), false, ""); return 71 * s }, want{false, 9, 9, 10, 9, Whole}},
+		{"one failed may be cut off for a window", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), false, ""); return 121 * s }, want{false, 9, 9, 9, 9, Whole}},
+		{"one that said so", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), true, ""); return 61 * s }, want{false, 9, 9, 10, 9, Whole}},
+		{"... has ended what it had begun", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), true, ""); return 66 * s }, want{false, 9, 9, 9, 9, Whole}},
 		{"nine tenths gone at once are not believed gone", func(r *Registry) time.Duration {
 			for i := 1; i < 10; i++ {
-				r.Gone(61*s, name(i), false, "")
+				r.MarkGone(61*s, name(i), false, "")
 			}
 			return 100 * s
 		}, want{false, 10, 5, 10, 1, Alone}},
 		{"... for a window, then the file's figures hold", func(r *Registry) time.Duration {
 			for i := 1; i < 10; i++ {
-				r.Gone(61*s, name(i), false, "")
+				r.MarkGone(61*s, name(i), false, "")
 			}
 			return 122 * s
 		}, want{true, 1, 1, 1, 1, Whole}},
 		{"four in ten cut off", func(r *Registry) time.Duration {
 			for i := 1; i < 5; i++ {
-				r.Gone(61*s, name(i), false, "")
+				r.MarkGone(61*s, name(i), false, "")
 			}
 			return 80 * s
 		}, want{false, 10, 6, 10, 6, Majority}},
 		{"six in ten cut off", func(r *Registry) time.Duration {
 			for i := 1; i < 7; i++ {
-				r.Gone(61*s, name(i), false, "")
+				r.MarkGone(61*s, name(i), false, "")
 			}
 			return 80 * s
 		}, want{false, 10, 5, 10, 4, Minority}},
@@ -79,7 +79,7 @@
 		{"... after two seconds", func(r *Registry) time.Duration { r.MarkAlive(61*s, Member{Name: "new"}); return 63 * s }, want{false, 11, 11, 11, 11, Whole}},
 		{"one that flaps keeps its place", func(r *Registry) time.Duration {
 			for i := range 60 {
-				r.Gone(61*s+time.Duration(2*i)*s, name(3), false, "")
+				r.MarkGone(61*s+time.Duration(2*i)*s, name(3), false, "")
 				r.Tick(61*s + time.Duration(2*i)*s)
 				r.MarkAlive(62*s+time.Duration(2*i)*s, Member{Name: name(3)})
 				r.Tick(62*s + time.Duration(2*i)*s)
@@ -140,9 +140,9 @@
 			case 1:
 				r.MarkSuspected(now, who)
 			case 2:
-				r.Gone(now, who, false, "")
+				r.MarkGone(now, who, false, "")
 			case 3:
-				r.Gone(now, who, true, "")
+				r.MarkGone(now, who, true, "")
 			case 4:
 				if next := r.Tick(now); next <= now {
 					t.Fatalf("the next look is at %v, now %v", next, now)
@@ -212,7 +212,7 @@
 		for i, at := range []time.Duration{61 * s, 62 * s, 80 * s, 81 * s, 100 * s} {
 			n := 3 + i%2
 			if i%2 == 0 {
-				r.Gone(at, name(n), false, "")
+				r.MarkGone(at, name(n), false, "")
 			} else {
 				r.MarkAlive(at, Member{Name: name(n - 1), Started: off - off/2*int64(i), Most: 1})
 			}
