--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -223,7 +223,8 @@
 }
 
 // MarkGone records that a member announced its leave or, if announced is false, that failure
-// detection declared it failed. A member that left cannot become failed. An empty reason selects a default text.
+// detection declared it failed. A member that left cannot become failed. An empty reason selects a
+// default text.
 func (r *Registry) MarkGone(now time.Duration, name string, announced bool, reason string) {
 	x := r.members[name]
 	if x == nil || name == r.cfg.Self.Name {
--- a/internal/peers/peers_test.go
+++ b/internal/peers/peers_test.go
@@ -14,8 +14,9 @@
 
 func name(n int) string { return fmt.Sprintf("g%d", n) }
 
-// of is a registry of peers of gateway 0 among n that are all heard at the beginning, long ago.
-func of(n int, change func(*Config)) *Registry {
+// newFleet returns the registry of gateway 0 in a fleet of n gateways, which are all reported alive at
+// time 0 and have a position after the Tick at 2 s.
+func newFleet(n int, change func(*Config)) *Registry {
 	cfg := Config{Self: Member{Name: name(0)}, Typed: 1}
 	if change != nil {
 		change(&cfg)
@@ -35,29 +36,29 @@
 		side                     Side
 	}
 	for _, c := range []struct {
-		name string
-		play func(r *Registry) time.Duration
-		want want
+		name   string
+		events func(r *Registry) time.Duration
+		want   want
 	}{
-		{"all there", func(r *Registry) time.Duration { return 61 * s }, want{false, 10, 10, 10, 10, Whole}},
+		{"all alive", func(r *Registry) time.Duration { return 61 * s }, want{false, 10, 10, 10, 10, Whole}},
 		{"one suspected", func(r *Registry) time.Duration { r.MarkSuspected(61*s, name(3)); return 61 * s }, want{false, 10, 9, 10, 10, Whole}},
-		{"one that lives after all", func(r *Registry) time.Duration {
+		{"one suspected that proves to be alive", func(r *Registry) time.Duration {
 			r.MarkSuspected(61*s, name(3))
 			r.MarkAlive(62*s, Member{Name: name(3)})
 			return 62 * s
 		}, want{false, 10, 10, 10, 10, Whole}},
-		{"one failed keeps its place for a restart", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), false, ""); return 70 * s }, want{false, 10, 9, 10, 9, Whole}},
-		{"one failed loses its place", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), false, ""); return 71 * s }, want{false, 9, 9, 10, 9, Whole}},
-		{"one failed may be cut off for a window", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), false, ""); return 121 * s }, want{false, 9, 9, 9, 9, Whole}},
-		{"one that said so", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), true, ""); return 61 * s }, want{false, 9, 9, 10, 9, Whole}},
-		{"... has ended what it had begun", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), true, ""); return 66 * s }, want{false, 9, 9, 9, 9, Whole}},
-		{"nine tenths gone at once are not believed gone", func(r *Registry) time.Duration {
+		{"one failed keeps its position long enough for a restart", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), false, ""); return 70 * s }, want{false, 10, 9, 10, 9, Whole}},
+		{"one failed loses its position", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), false, ""); return 71 * s }, want{false, 9, 9, 10, 9, Whole}},
+		{"one failed no longer counts for Most after the window", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), false, ""); return 121 * s }, want{false, 9, 9, 9, 9, Whole}},
+		{"one that announced its leave", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), true, ""); return 61 * s }, want{false, 9, 9, 10, 9, Whole}},
+		{"... no longer counts for Most after the linger time", func(r *Registry) time.Duration { r.MarkGone(61*s, name(3), true, ""); return 66 * s }, want{false, 9, 9, 9, 9, Whole}},
+		{"nine of ten lost at once keep their positions", func(r *Registry) time.Duration {
 			for i := 1; i < 10; i++ {
 				r.MarkGone(61*s, name(i), false, "")
 			}
 			return 100 * s
 		}, want{false, 10, 5, 10, 1, Alone}},
-		{"... for a window, then the file's figures hold", func(r *Registry) time.Duration {
+		{"... for a window, then the configured values are used", func(r *Registry) time.Duration {
 			for i := 1; i < 10; i++ {
 				r.MarkGone(61*s, name(i), false, "")
 			}
@@ -75,9 +76,9 @@
 			}
 			return 80 * s
 		}, want{false, 10, 5, 10, 4, Minority}},
-		{"a new one gets its place when it has stayed", func(r *Registry) time.Duration { r.MarkAlive(61*s, Member{Name: "new"}); return 62 * s }, want{false, 10, 11, 11, 11, Whole}},
-		{"... after two seconds", func(r *Registry) time.Duration { r.MarkAlive(61*s, Member{Name: "new"}); return 63 * s }, want{false, 11, 11, 11, 11, Whole}},
-		{"one that flaps keeps its place", func(r *Registry) time.Duration {
+		{"a new one has no position before the settle time", func(r *Registry) time.Duration { r.MarkAlive(61*s, Member{Name: "new"}); return 62 * s }, want{false, 10, 11, 11, 11, Whole}},
+		{"... and gets one after two seconds", func(r *Registry) time.Duration { r.MarkAlive(61*s, Member{Name: "new"}); return 63 * s }, want{false, 11, 11, 11, 11, Whole}},
+		{"one that flaps keeps its position", func(r *Registry) time.Duration {
 			for i := range 60 {
 				r.MarkGone(61*s+time.Duration(2*i)*s, name(3), false, "")
 				r.Tick(61*s + time.Duration(2*i)*s)
@@ -88,8 +89,8 @@
 		}, want{false, 10, 10, 10, 10, Whole}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := of(10, nil)
-			now := c.play(r)
+			r := newFleet(10, nil)
+			now := c.events(r)
 			for at := 62 * s; at <= now; at += s {
 				r.Tick(at)
 			}
@@ -102,34 +103,34 @@
 	}
 }
 
-// The typed figures hold until somebody was heard and it has settled, and count for Most until a
-// window has passed: what is there may not all have been heard.
+// The configured values are used until another gateway was reported alive and the settle time has
+// passed. The configured number still bounds Most from below until a window has passed, because some
+// members may not have been seen yet.
 func TestTypedFigures(t *testing.T) {
 	r := New(0, Config{Self: Member{Name: "a"}, Typed: 40, Place: 0.25})
 	if v := r.View(); !v.Typed || v.Count != 40 || v.Least != 40 || v.Most != 40 || v.Place != 0.25 {
-		t.Fatalf("nobody is heard: %+v", v)
+		t.Fatalf("no other gateway is alive: %+v", v)
 	}
 	r.MarkAlive(s, Member{Name: "b"})
 	r.Tick(s)
 	if v := r.View(); !v.Typed {
-		t.Fatalf("it has not settled: %+v", v)
+		t.Fatalf("before the settle time: %+v", v)
 	}
 	r.Tick(3 * s)
 	if v := r.View(); v.Typed || v.Count != 2 || v.Most != 40 {
-		t.Fatalf("settled: %+v", v)
+		t.Fatalf("after the settle time: %+v", v)
 	}
 	r.Tick(60 * s)
 	if v := r.View(); v.Most != 2 {
-		t.Fatalf("a window later: %+v", v)
+		t.Fatalf("after a window: %+v", v)
 	}
 }
 
-// Whatever is heard in whatever order: a gateway's bounds hold what it reaches, places lie within
-// 0 and 1, one member counts once, what was said is kept in bounds, and the same events make the same
-// view.
+// For any events in any order, Least and Most bound the members that are reached, Place is at least 0
+// and below 1, each member counts once, and the number of members that are kept stays limited.
 func TestAnyEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := of(rapid.IntRange(1, 8).Draw(t, "members"), func(c *Config) { c.Most = 12 })
+		r := newFleet(rapid.IntRange(1, 8).Draw(t, "members"), func(c *Config) { c.Most = 12 })
 		now := 2 * s
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
 			now += time.Duration(rapid.IntRange(0, 20000).Draw(t, "ms")) * time.Millisecond
@@ -145,7 +146,7 @@
 				r.MarkGone(now, who, true, "")
 			case 4:
 				if next := r.Tick(now); next <= now {
-					t.Fatalf("the next look is at %v, now %v", next, now)
+					t.Fatalf("the next tick is due at %v, now %v", next, now)
 				}
 			}
 			r.Tick(now)
@@ -171,18 +172,18 @@
 	})
 }
 
-// Places of members that agree are as far apart as they can be, and a member more or less moves
-// nobody by more than one place.
+// Members that agree on the fleet have evenly spaced positions, and removing one member moves no other
+// by more than one position.
 func TestPlacesMoveLittle(t *testing.T) {
-	places := func(n int, without int) map[string]float64 {
+	positions := func(n int, removed int) map[string]float64 {
 		out := map[string]float64{}
 		for self := range n {
-			if self == without {
+			if self == removed {
 				continue
 			}
 			r := New(0, Config{Self: Member{Name: name(self)}})
 			for i := range n {
-				if i != self && i != without {
+				if i != self && i != removed {
 					r.MarkAlive(0, Member{Name: name(i)})
 				}
 			}
@@ -191,24 +192,24 @@
 		}
 		return out
 	}
-	all, fewer := places(40, -1), places(40, 17)
+	all, without17 := positions(40, -1), positions(40, 17)
 	seen := map[int]bool{}
 	for who, at := range all {
 		seen[int(math.Round(at*40))] = true
-		if to, ok := fewer[who]; ok && math.Abs(to-at) > 1.0/39 {
+		if to, ok := without17[who]; ok && math.Abs(to-at) > 1.0/39 {
 			t.Errorf("%s moves from %.3f to %.3f", who, at, to)
 		}
 	}
 	if len(seen) != 40 {
-		t.Errorf("%d places for 40", len(seen))
+		t.Errorf("%d positions for 40 members", len(seen))
 	}
 }
 
-// Members' clocks may be off by days, and a member that comes back may have gone back in time: views are as
-// with true ones.
+// Clocks of members may be wrong by days, and a member may come back with an earlier start time. The
+// views must be the same as with correct clocks.
 func TestClocksOfOthersDoNotCount(t *testing.T) {
-	play := func(off int64) (list []View) {
-		r := of(10, nil)
+	views := func(off int64) (list []View) {
+		r := newFleet(10, nil)
 		for i, at := range []time.Duration{61 * s, 62 * s, 80 * s, 81 * s, 100 * s} {
 			n := 3 + i%2
 			if i%2 == 0 {
@@ -221,10 +222,10 @@
 		}
 		return list
 	}
-	truth := play(0)
+	want := views(0)
 	for _, off := range []int64{-86_400_000, 86_400_000, math.MaxInt64, math.MinInt64} {
-		if list := play(off); !slices.Equal(list, truth) {
-			t.Errorf("clocks off by %d ms: %+v, want %+v", off, list, truth)
+		if list := views(off); !slices.Equal(list, want) {
+			t.Errorf("clocks off by %d ms: %+v, want %+v", off, list, want)
 		}
 	}
 }
