--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -58,8 +58,9 @@
 	// keepBack is how long an override that calls back is kept: an override that is held up for longer than
 	// that counts again.
 	keepBack = 24 * time.Hour
-	// MostHosts bounds overrides kept; those that call back make room first.
-	MostHosts = 4096
+	// MaxHosts is the maximum number of overrides kept. At the limit, the oldest override that puts a
+	// host back into service is dropped to make room.
+	MaxHosts = 4096
 	// mostOwed bounds members that wait for an answer on one override.
 	mostOwed = 512
 	buckets  = 64 // of hosts, each with a digest
@@ -178,7 +179,7 @@
 	i, e := bucket(w.Host), b.entries[w.Host]
 	if e != nil {
 		b.digests[i] ^= e.sum()
-	} else if len(b.entries) >= MostHosts && !b.makeRoom() {
+	} else if len(b.entries) >= MaxHosts && !b.makeRoom() {
 		b.counts.Dropped++
 		return nil
 	}
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -270,7 +270,7 @@
 func TestWordsAreBounded(t *testing.T) {
 	b := New("g")
 	now := time.Second
-	for i := range MostHosts {
+	for i := range MaxHosts {
 		if _, err := b.Set(now, fmt.Sprint(i), i != 5); err != nil {
 			t.Fatal(err)
 		}
