--- a/internal/gateway/overrides.go
+++ b/internal/gateway/overrides.go
@@ -91,7 +91,7 @@
 	for _, w := range todo {
 		d.doing.Lock()
 		d.mu.Lock()
-		s, _ := d.store.Of(d.now(), w.Host)
+		s, _ := d.store.Lookup(d.now(), w.Host)
 		d.mu.Unlock()
 		if s.Entry != w { // another has come meanwhile, here or from elsewhere
 			d.doing.Unlock()
@@ -127,7 +127,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	_, has := d.store.Of(d.now(), host)
+	_, has := d.store.Lookup(d.now(), host)
 	return has
 }
 
@@ -172,7 +172,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for {
-		s, _ := d.store.Of(d.now(), host)
+		s, _ := d.store.Lookup(d.now(), host)
 		switch {
 		case s.Entry != w:
 			return "", fmt.Errorf("another override has come in between, at %s: out is %t", s.By, s.Out)
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -384,8 +384,8 @@
 	return s
 }
 
-// Of is the override on a host; false: there is none.
-func (b *Store) Of(now Time, host string) (Status, bool) {
+// Lookup is the override on a host; false: there is none.
+func (b *Store) Lookup(now Time, host string) (Status, bool) {
 	b.now = max(b.now, now)
 	e := b.entries[host]
 	if e == nil {
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -168,7 +168,7 @@
 			}
 			f.run(time.Duration(r.IntN(400))*time.Millisecond, func() bool {
 				for w := range began { // a yes is true of all who were alive and are
-					s, ok := f.books[slices.Index(f.names, w.By)].Of(f.now, w.Host)
+					s, ok := f.books[slices.Index(f.names, w.By)].Lookup(f.now, w.Host)
 					if !ok || s.Entry != w || !s.Asked || !s.Holds || len(s.Lack)+len(s.Away) > 0 {
 						continue
 					}
@@ -254,7 +254,7 @@
 	}
 	w := f.say(0, "h0007", false)
 	if !f.run(400*time.Millisecond, func() bool {
-		s, _ := f.books[0].Of(f.now, "h0007")
+		s, _ := f.books[0].Lookup(f.now, "h0007")
 		return s.Entry == w && len(s.Lack) == 0
 	}) {
 		t.Error("not all 300 have said that it holds")
@@ -284,7 +284,7 @@
 	b.Set(now, "7", false)
 	b.View([]string{"h"})
 	b.Tick(now + keepBack)
-	if _, kept := b.Of(now+keepBack, "7"); kept {
+	if _, kept := b.Lookup(now+keepBack, "7"); kept {
 		t.Error("an override that calls back is kept for ever")
 	}
 	again := New("h")
