--- a/internal/gateway/overrides.go
+++ b/internal/gateway/overrides.go
@@ -117,7 +117,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.most = v.Most
-	d.store.View(names)
+	d.store.SetAlive(names)
 }
 
 // has says whether there is an override on a host, which no list here need name.
--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -118,8 +118,8 @@
 // sum is an override in the digest of its bucket.
 func (w Entry) sum() uint64 { return xxhash.Sum64(appendEntry(nil, w)) }
 
-// View says who else is held alive.
-func (b *Store) View(others []string) {
+// SetAlive says who else is held alive.
+func (b *Store) SetAlive(others []string) {
 	list := slices.DeleteFunc(slices.Clone(others), func(n string) bool { return n == b.self })
 	slices.Sort(list)
 	list = slices.Compact(list)
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -57,7 +57,7 @@
 				alive = append(alive, n)
 			}
 		}
-		b.View(alive)
+		b.SetAlive(alive)
 	}
 }
 
@@ -282,7 +282,7 @@
 		t.Errorf("%v beyond the bound", err)
 	}
 	b.Set(now, "7", false)
-	b.View([]string{"h"})
+	b.SetAlive([]string{"h"})
 	b.Tick(now + keepBack)
 	if _, kept := b.Lookup(now+keepBack, "7"); kept {
 		t.Error("an override that calls back is kept for ever")
@@ -306,7 +306,7 @@
 		var books [2]*Store
 		for i := range books {
 			b := New("me")
-			b.View([]string{"x", "y"})
+			b.SetAlive([]string{"x", "y"})
 			list := rapid.Permutation(entries).Draw(t, "order")
 			for _, w := range append(list, list[:rapid.IntRange(0, len(list)).Draw(t, "twice")]...) {
 				m := message{kind: tells, from: "x", entries: []Entry{w}}
@@ -328,7 +328,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		b := New("me")
-		b.View([]string{"x"})
+		b.SetAlive([]string{"x"})
 		b.Set(0, "h", true)
 		out, entries := b.Take(time.Second, data)
 		for _, p := range out {
