--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -58,8 +58,9 @@
 	// keepBack is how long an override that calls back is kept: an override that is held up for longer than
 	// that counts again.
 	keepBack = 24 * time.Hour
-	// MostHosts bounds overrides kept; those that call back make room first.
-	MostHosts = 4096
+	// MaxHosts is the maximum number of overrides kept. At the limit, the oldest override that puts a
+	// host back into service is dropped to make room.
+	MaxHosts = 4096
 	// mostOwed bounds members that wait for an answer on one override.
 	mostOwed = 512
 	buckets  = 64 // of hosts, each with a digest
@@ -117,8 +118,8 @@
 // sum is an override in the digest of its bucket.
 func (w Entry) sum() uint64 { return xxhash.Sum64(appendEntry(nil, w)) }
 
-// View says who else is held alive.
-func (b *Store) View(others []string) {
+// SetAlive says who else is held alive.
+func (b *Store) SetAlive(others []string) {
 	list := slices.DeleteFunc(slices.Clone(others), func(n string) bool { return n == b.self })
 	slices.Sort(list)
 	list = slices.Compact(list)
@@ -178,7 +179,7 @@
 	i, e := bucket(w.Host), b.entries[w.Host]
 	if e != nil {
 		b.digests[i] ^= e.sum()
-	} else if len(b.entries) >= MostHosts && !b.makeRoom() {
+	} else if len(b.entries) >= MaxHosts && !b.makeRoom() {
 		b.counts.Dropped++
 		return nil
 	}
@@ -383,8 +384,8 @@
 	return s
 }
 
-// Of is the override on a host; false: there is none.
-func (b *Store) Of(now Time, host string) (Status, bool) {
+// Lookup is the override on a host; false: there is none.
+func (b *Store) Lookup(now Time, host string) (Status, bool) {
 	b.now = max(b.now, now)
 	e := b.entries[host]
 	if e == nil {
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -57,7 +57,7 @@
 				alive = append(alive, n)
 			}
 		}
-		b.View(alive)
+		b.SetAlive(alive)
 	}
 }
 
@@ -168,7 +168,7 @@
 			}
 			f.run(time.Duration(r.IntN(400))*time.Millisecond, func() bool {
 				for w := range began { // a yes is true of all who were alive and are
-					s, ok := f.books[slices.Index(f.names, w.By)].Of(f.now, w.Host)
+					s, ok := f.books[slices.Index(f.names, w.By)].Lookup(f.now, w.Host)
 					if !ok || s.Entry != w || !s.Asked || !s.Holds || len(s.Lack)+len(s.Away) > 0 {
 						continue
 					}
@@ -254,7 +254,7 @@
 	}
 	w := f.say(0, "h0007", false)
 	if !f.run(400*time.Millisecond, func() bool {
-		s, _ := f.books[0].Of(f.now, "h0007")
+		s, _ := f.books[0].Lookup(f.now, "h0007")
 		return s.Entry == w && len(s.Lack) == 0
 	}) {
 		t.Error("not all 300 have said that it holds")
@@ -270,7 +270,7 @@
 func TestWordsAreBounded(t *testing.T) {
 	b := New("g")
 	now := time.Second
-	for i := range MostHosts {
+	for i := range MaxHosts {
 		if _, err := b.Set(now, fmt.Sprint(i), i != 5); err != nil {
 			t.Fatal(err)
 		}
@@ -282,9 +282,9 @@
 		t.Errorf("%v beyond the bound", err)
 	}
 	b.Set(now, "7", false)
-	b.View([]string{"h"})
+	b.SetAlive([]string{"h"})
 	b.Tick(now + keepBack)
-	if _, kept := b.Of(now+keepBack, "7"); kept {
+	if _, kept := b.Lookup(now+keepBack, "7"); kept {
 		t.Error("an override that calls back is kept for ever")
 	}
 	again := New("h")
@@ -306,7 +306,7 @@
 		var books [2]*Store
 		for i := range books {
 			b := New("me")
-			b.View([]string{"x", "y"})
+			b.SetAlive([]string{"x", "y"})
 			list := rapid.Permutation(entries).Draw(t, "order")
 			for _, w := range append(list, list[:rapid.IntRange(0, len(list)).Draw(t, "twice")]...) {
 				m := message{kind: tells, from: "x", entries: []Entry{w}}
@@ -328,7 +328,7 @@
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		b := New("me")
-		b.View([]string{"x"})
+		b.SetAlive([]string{"x"})
 		b.Set(0, "h", true)
 		out, entries := b.Take(time.Second, data)
 		for _, p := range out {
