--- a/balancer.go
+++ b/balancer.go
@@ -119,7 +119,7 @@
 }
 
 // Fleet reports how many instances share the hosts. Both bounds are used on the safe side: the minimum
-// number of instances sets the size of the subset of this instance, so that every host is used by one;
+// number of instances sets the size of the subset of each, so that no host is left without an instance;
 // the maximum divides the budgets of cold hosts and the quotas of tenants, so that all instances
 // together stay within them. Values that are not valid are ignored.
 func (b *Balancer) Fleet(now Time, fleet Fleet) {
@@ -273,7 +273,7 @@
 }
 
 // rebuildNearSubset collects the hosts of the subset that are in the own zone, if those are preferred,
-// and raises the number of hosts drawn from to at least the subset.
+// and raises reach to at least the size of the subset.
 func (b *Balancer) rebuildNearSubset() {
 	b.reach, b.nearSubset = max(b.reach, b.subsetSize), b.nearSubset[:0]
 	for _, h := range b.ring[:min(b.subsetSize, len(b.ring))] {
@@ -489,7 +489,7 @@
 }
 
 // StreamStarted reports that the answer stream of attempt n has begun: the request is committed to that
-// attempt, and other attempts are canceled.
+// attempt, and its other attempts are canceled if Settings.Cancel is set.
 func (b *Balancer) StreamStarted(now Time, id RequestID, n int) {
 	b.now = now
 	if r := b.requestByID[id]; r != nil && !r.done && n >= 0 && n < len(r.attempts) {
@@ -795,7 +795,8 @@
 	return b.lessLoaded(x, y)
 }
 
-// drawTwo draws hosts at random until two of them are ready. Results that were not found are nil.
+// drawTwo draws hosts at random until two of them are ready, preferring for the first half of the
+// draws hosts that were not used in this selection round. A result that was not found is nil.
 func (b *Balancer) drawTwo(r *request, from []*host) (one, two *host) {
 	seen := 0
 	for range maxDraws {
@@ -1161,7 +1162,8 @@
 	b.release(r)
 }
 
-// cancelOthers cancels all attempts in flight of the request except attempt keep (-1: none).
+// cancelOthers cancels all attempts in flight of the request except attempt keep (-1: none), if
+// Settings.Cancel is set.
 func (b *Balancer) cancelOthers(r *request, keep int) {
 	for i, a := range r.attempts {
 		if i != keep && !a.ended && b.set.Cancel {
