--- a/balancer.go
+++ b/balancer.go
@@ -795,8 +795,8 @@
 	return b.lessLoaded(x, y)
 }
 
-// drawTwo draws hosts at random until two of them are ready, preferring for the first half of the
-// draws hosts that were not used in this selection round. A result that was not found is nil.
+// drawTwo draws hosts at random until two of them are ready, and skips up to maxDraws/2 hosts that were
+// used in this selection round. A result that was not found is nil.
 func (b *Balancer) drawTwo(r *request, from []*host) (one, two *host) {
 	seen := 0
 	for range maxDraws {
