--- a/internal/drain/drain.go
+++ b/internal/drain/drain.go
@@ -52,7 +52,7 @@
 // State returns the state as of the last call of Drain, Resume or Step.
 func (m *Machine) State() State { return m.state }
 
-// Ready reports whether the gateway accepts new clients.
+// Ready reports whether the gateway is ready for new clients, which is true in the state Working only.
 func (m *Machine) Ready() bool { return m.state == Working }
 
 // Drain begins to drain the gateway. It does nothing if a drain is already in progress.
--- a/internal/drain/drain_test.go
+++ b/internal/drain/drain_test.go
@@ -10,12 +10,12 @@
 func TestTable(t *testing.T) {
 	const t0 = 100 * time.Second
 	for _, c := range []struct {
-		name           string
-		after          time.Duration
-		idle           int
-		want           State
-		closes         int
-		silent, repeat bool
+		name               string
+		after              time.Duration
+		idle               int
+		want               State
+		closes             int
+		silent, drainTwice bool
 	}{
 		{"at once", 0, 50, Leaving, 0, false, false},
 		{"while the front still sends connections", LeavingFor - 1, 50, Leaving, 0, false, true},
@@ -27,7 +27,7 @@
 	} {
 		var m Machine
 		m.Drain(t0)
-		if c.repeat {
+		if c.drainTwice {
 			m.Drain(t0 + c.after) // a second call changes nothing
 		}
 		closes, silent := m.Step(t0+c.after, c.idle)
--- a/internal/headers/ops.go
+++ b/internal/headers/ops.go
@@ -53,7 +53,7 @@
 	o := &Ops{}
 	var bad []Problem
 	for i, c := range list {
-		say := func(field, format string, args ...any) {
+		report := func(field, format string, args ...any) {
 			bad = append(bad, Problem{i, field, fmt.Sprintf(format, args...)})
 		}
 		x, field, name, names := op{}, "", "", 0
@@ -66,21 +66,21 @@
 		x.name = http.CanonicalHeaderKey(name)
 		switch {
 		case names != 1:
-			say("", "exactly one of set, add and remove must name the field")
+			report("", "exactly one of set, add and remove must name the field")
 			continue
 		case !token(name):
-			say(field, "%q is not a valid field name", name)
+			report(field, "%q is not a valid field name", name)
 		case slices.Contains(framing, x.name):
-			say(field, "%s is set by the gateway: it concerns the framing of messages or a single connection", x.name)
+			report(field, "%s is set by the gateway: it concerns the framing of messages or a single connection", x.name)
 		case x.name == "Host":
-			say(field, "the Host sent to hosts is set by the pool's authority")
+			report(field, "the Host sent to hosts is set by the pool's authority")
 		case x.kind == remove && c.To != "":
-			say("to", "a field that is removed has no value")
+			report("to", "a field that is removed has no value")
 		}
 		if x.kind != remove {
 			t, err := Compile(c.To)
 			if err != nil {
-				say("to", "%v", err)
+				report("to", "%v", err)
 			}
 			x.to = t
 		}
--- a/internal/headers/template.go
+++ b/internal/headers/template.go
@@ -39,13 +39,13 @@
 
 // part is a literal text or a variable.
 type part struct {
-	text     string // the literal text, if variable is literal
-	variable variable
-	name     string // canonical name of the header, if variable is varHeader
-	n        int    // number of the path segment from 1, if variable is varSegment
+	text string // the literal text, if kind is literal
+	kind variable
+	name string // canonical name of the header, if kind is varHeader
+	n    int    // number of the path segment from 1, if kind is varSegment
 }
 
-// variable is the kind of a part.
+// variable is what a part stands for: literal text or one of the variables.
 type variable uint8
 
 const (
@@ -120,14 +120,14 @@
 // compileVariable returns the part for a variable's name.
 func compileVariable(name string) (part, error) {
 	if v, ok := variables[name]; ok {
-		return part{variable: v}, nil
+		return part{kind: v}, nil
 	}
 	if h, ok := strings.CutPrefix(name, "header."); ok && token(h) {
-		return part{variable: varHeader, name: http.CanonicalHeaderKey(h)}, nil
+		return part{kind: varHeader, name: http.CanonicalHeaderKey(h)}, nil
 	}
 	if s, ok := strings.CutPrefix(name, "path."); ok {
 		if n, err := strconv.Atoi(s); err == nil && n >= 1 && n <= 100 {
-			return part{variable: varSegment, n: n}, nil
+			return part{kind: varSegment, n: n}, nil
 		}
 	}
 	return part{}, fmt.Errorf("unknown variable ${%.40s} (known: client, scheme, host, hostname, method, path, path.1 and so on, query, question, uri, id, route, pool, status, header.NAME)", name)
@@ -140,7 +140,7 @@
 	start := len(b)
 	for i := range t.parts {
 		p := &t.parts[i]
-		switch p.variable {
+		switch p.kind {
 		case literal:
 			b = append(b, p.text...)
 		case varClient:
@@ -174,7 +174,7 @@
 
 // value returns the value of a variable that is a text.
 func (p *part) value(v *Vars) string {
-	switch p.variable {
+	switch p.kind {
 	case varScheme:
 		return v.Scheme
 	case varHost:
--- a/internal/learning/learning.go
+++ b/internal/learning/learning.go
@@ -35,7 +35,7 @@
 
 // Pool is the saved state of a pool.
 type Pool struct {
-	List    *membership.List   `json:",omitempty"` // the last host list; nil means that it has no version
+	List    *membership.List   `json:",omitempty"` // the last host list; nil if it has no version or failed its check
 	Learned *frostshift.Memory `json:",omitempty"`
 	// Repeats is the number of accumulated retries in the pool's retry budget; nil means unknown.
 	Repeats *float64 `json:",omitempty"`
--- a/internal/verdict/budget.go
+++ b/internal/verdict/budget.go
@@ -57,14 +57,14 @@
 	if b.share == 0 {
 		return true
 	}
-	part := 1.0
+	fleetShare := 1.0
 	if b.right != nil {
 		b.right.Ask(1)
-		part = b.right.Part(now)
-		b.tokens = min(b.tokens, max(maxSaved*part, 1))
+		fleetShare = b.right.Part(now)
+		b.tokens = min(b.tokens, max(maxSaved*fleetShare, 1))
 	}
 	if dt := (now - b.at).Seconds(); b.at > 0 && dt > 0 {
-		b.tokens = min(b.tokens+dt*MinRetryRate*part, max(b.tokens, initialSaved*part, 1))
+		b.tokens = min(b.tokens+dt*MinRetryRate*fleetShare, max(b.tokens, initialSaved*fleetShare, 1))
 	}
 	b.at = now
 	if b.tokens < 1 {
--- a/internal/verdict/compile.go
+++ b/internal/verdict/compile.go
@@ -44,7 +44,7 @@
 func Compile(spec Spec) (*Set, []Problem) {
 	var bad []Problem
 	failed := false
-	c := compiler{set: plain, say: func(rule int, field string, warning bool, format string, args ...any) {
+	c := compiler{set: plain, report: func(rule int, field string, warning bool, format string, args ...any) {
 		bad = append(bad, Problem{rule, field, fmt.Sprintf(format, args...), warning})
 		failed = failed || !warning
 	}}
@@ -54,10 +54,10 @@
 	case "gateway":
 		c.set.fromHost = false
 	default:
-		c.say(-1, "unserved", false, "%q is neither host nor gateway", spec.Unserved)
+		c.report(-1, "unserved", false, "%q is neither host nor gateway", spec.Unserved)
 	}
 	if len(spec.Rules) > maxRules {
-		c.say(-1, "rule", false, "%d rules are more than %d", len(spec.Rules), maxRules)
+		c.report(-1, "rule", false, "%d rules exceed the maximum of %d", len(spec.Rules), maxRules)
 		return nil, bad
 	}
 	for i := range spec.Rules {
@@ -74,7 +74,7 @@
 // it: later rules are ignored for this status.
 type compiler struct {
 	set     Set
-	say     func(rule int, field string, warning bool, format string, args ...any)
+	report  func(rule int, field string, warning bool, format string, args ...any)
 	settled [1000]bool
 	events  [events]bool
 	lists   [1000][]headerRule
@@ -114,7 +114,7 @@
 		return
 	}
 	if !x.hasGives && !x.hasRan && !x.hasHealth {
-		c.say(i, "", false, "the rule changes nothing: set answer, ran or health")
+		c.report(i, "", false, "the rule changes nothing: set answer, ran or health")
 		return
 	}
 	h, ok := c.header(i, r)
@@ -126,7 +126,7 @@
 		return
 	}
 	if x.hasRan && Ran(x.ran) == Never && h.op == Any && slices.ContainsFunc(statuses, func(s int) bool { return s != 421 && s != 425 }) {
-		c.say(i, "ran", true, "a status alone is taken as proof that the request did not run: unsafe requests are retried on it")
+		c.report(i, "ran", true, "a status alone is taken as proof that the request did not run: unsafe requests are retried on it")
 	}
 	hit := false
 	for _, status := range statuses {
@@ -143,12 +143,12 @@
 			c.lists[status] = append(c.lists[status], h)
 		}
 		if status < 400 && m.Ran == Never && m.Disposition == Final {
-			c.say(i, "ran", false, "an answer %d that the client gets has run", status)
+			c.report(i, "ran", false, "an answer %d that the client gets has run", status)
 			return
 		}
 	}
 	if !hit {
-		c.say(i, "status", true, "earlier rules already cover all of its statuses")
+		c.report(i, "status", true, "earlier rules already cover all of its statuses")
 	}
 }
 
@@ -157,7 +157,7 @@
 func (c *compiler) nameIndex(i int, field, text string, names []string) (int, bool) {
 	at := slices.Index(names, text)
 	if text != "" && at < 0 {
-		c.say(i, field, false, "%q is none of %s", text, strings.Join(names, ", "))
+		c.report(i, field, false, "%q is none of %s", text, strings.Join(names, ", "))
 	}
 	return at, at >= 0
 }
@@ -167,13 +167,13 @@
 	at := slices.Index(eventNames[:], r.Event)
 	switch {
 	case at < 0:
-		c.say(i, "event", false, "%q is none of %s", r.Event, strings.Join(eventNames[:], ", "))
+		c.report(i, "event", false, "%q is none of %s", r.Event, strings.Join(eventNames[:], ", "))
 	case len(r.Status) > 0 || r.Header != "" || r.Ran != "" || r.Health != "":
-		c.say(i, "event", false, "an event has no status and no header, and only its answer can be set")
+		c.report(i, "event", false, "an event has no status and no header, and only its answer can be set")
 	case !hasGives || Disposition(gives) == Hidden:
-		c.say(i, "answer", false, "an event is final (no further attempt) or spare (another may follow)")
+		c.report(i, "answer", false, "an event is final (no further attempt) or spare (another may follow)")
 	case c.events[at]:
-		c.say(i, "event", true, "an earlier rule already covers %s", r.Event)
+		c.report(i, "event", true, "an earlier rule already covers %s", r.Event)
 	default:
 		c.events[at] = true
 		c.set.final[at] = Disposition(gives) == Final
@@ -190,15 +190,15 @@
 	}
 	switch {
 	case r.Header == "" && conditions > 0:
-		c.say(i, "header", false, "a condition needs the header that it applies to")
+		c.report(i, "header", false, "a condition needs the header that it applies to")
 		return h, false
 	case r.Header == "":
 		return h, true
 	case !token(r.Header):
-		c.say(i, "header", false, "%q is not a valid header name", r.Header)
+		c.report(i, "header", false, "%q is not a valid header name", r.Header)
 		return h, false
 	case conditions > 1:
-		c.say(i, "header", false, "set only one of equals, not and absent")
+		c.report(i, "header", false, "set only one of equals, not and absent")
 		return h, false
 	}
 	h.name, h.op = http.CanonicalHeaderKey(r.Header), Exists
@@ -231,7 +231,7 @@
 		from, err1 := strconv.Atoi(low)
 		to, err2 := strconv.Atoi(high)
 		if err1 != nil || err2 != nil || from < 200 || to > 999 || from > to || len(low) != 3 || len(high) != 3 {
-			c.say(i, "status", false, "%q is neither a status from 200 to 999 nor a range like 500-599", text)
+			c.report(i, "status", false, "%q is neither a status from 200 to 999 nor a range like 500-599", text)
 			ok = false
 			continue
 		}
--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -26,7 +26,7 @@
 	Hidden
 )
 
-// Ran tells whether the host has run the request that it answered.
+// Ran states whether the host has run the request that it answered.
 type Ran uint8
 
 // Values of Ran.
@@ -69,13 +69,13 @@
 // Set is that of the platform's protocol.
 type Set struct {
 	name     string
-	status   [1000]Meaning // by status, where no rule with a header matches
-	chains   [1000]uint16  // by status: 1 + the index in rules of the rules with a header; 0 means none
-	rules    [][]headerRule
-	final    [events]bool // no further attempt follows the event
-	fromHost bool         // when attempts are used up, the client gets the last Spare answer
-	blame    bool         // every Fault is the host's: no OutlierDetector is consulted
-	own      bool         // the set is that of the platform's protocol: see Platform
+	status   [1000]Meaning  // by status, where no rule with a header matches
+	chains   [1000]uint16   // by status: 1 + the index in rules of the rules with a header; 0 means none
+	rules    [][]headerRule // lists of rules with a header, in order; the first match applies
+	final    [events]bool   // no further attempt follows the event
+	fromHost bool           // when attempts are used up, the client gets the last Spare answer
+	blame    bool           // every Fault is the host's: no OutlierDetector is consulted
+	platform bool           // the set is that of the platform's protocol: see Platform
 }
 
 // headerRule is a compiled rule with a header condition.
@@ -98,8 +98,8 @@
 	Lacks            // the header is missing
 )
 
-// holds reports whether the header fields meet the rule's condition.
-func (r *headerRule) holds(h http.Header) bool {
+// matches reports whether the header fields meet the rule's condition.
+func (r *headerRule) matches(h http.Header) bool {
 	v := h[r.name]
 	switch r.op {
 	case Is:
@@ -124,7 +124,7 @@
 	}
 	if n := s.chains[status]; n > 0 {
 		for i := range s.rules[n-1] {
-			if r := &s.rules[n-1][i]; r.holds(header) {
+			if r := &s.rules[n-1][i]; r.matches(header) {
 				return r.meaning
 			}
 		}
@@ -144,7 +144,7 @@
 
 // IsPlatform reports whether the set is that of the platform's protocol. Answers are then only of
 // the forms that this protocol defines.
-func (s *Set) IsPlatform() bool { return s == nil || s.own }
+func (s *Set) IsPlatform() bool { return s == nil || s.platform }
 
 // Name returns the name of the set in its configuration.
 func (s *Set) Name() string {
@@ -158,7 +158,7 @@
 // 503 and 504 with X-Unprocessed: 1 that it has not run, and anything else is an error after which
 // it may have run.
 var platform = func() Set {
-	s := Set{name: "platform", blame: true, own: true, rules: [][]headerRule{{
+	s := Set{name: "platform", blame: true, platform: true, rules: [][]headerRule{{
 		{"X-Unprocessed", Is, "1", Meaning{Hidden, Never, Strained}}}}}
 	for i := range s.status {
 		s.status[i] = Meaning{Hidden, Maybe, Fault}
