--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -68,14 +68,14 @@
 // Set determines the meanings of all answers. It is immutable and safe for concurrent use. A nil
 // Set is that of the platform's protocol.
 type Set struct {
-	name     string
-	status   [1000]Meaning  // by status, where no rule with a header matches
-	chains   [1000]uint16   // by status: 1 + the index in rules of the rules with a header; 0 means none
-	rules    [][]headerRule // lists of rules with a header, in order; the first match applies
-	final    [events]bool   // no further attempt follows the event
-	fromHost bool           // when attempts are used up, the client gets the last Spare answer
-	blame    bool           // every Fault is the host's: no OutlierDetector is consulted
-	platform bool           // the set is that of the platform's protocol: see Platform
+	name       string
+	status     [1000]Meaning  // by status, where no rule with a header matches
+	chains     [1000]uint16   // by status: 1 + the index in rules of the rules with a header; 0 means none
+	rules      [][]headerRule // lists of rules with a header, in order; the first match applies
+	final      [events]bool   // no further attempt follows the event
+	fromHost   bool           // when attempts are used up, the client gets the last Spare answer
+	blame      bool           // every Fault is the host's: no OutlierDetector is consulted
+	isPlatform bool           // the set is that of the platform's protocol: see Platform
 }
 
 // headerRule is a compiled rule with a header condition.
@@ -144,7 +144,7 @@
 
 // IsPlatform reports whether the set is that of the platform's protocol. Answers are then only of
 // the forms that this protocol defines.
-func (s *Set) IsPlatform() bool { return s == nil || s.platform }
+func (s *Set) IsPlatform() bool { return s == nil || s.isPlatform }
 
 // Name returns the name of the set in its configuration.
 func (s *Set) Name() string {
@@ -158,7 +158,7 @@
 // 503 and 504 with X-Unprocessed: 1 that it has not run, and anything else is an error after which
 // it may have run.
 var platform = func() Set {
-	s := Set{name: "platform", blame: true, platform: true, rules: [][]headerRule{{
+	s := Set{name: "platform", blame: true, isPlatform: true, rules: [][]headerRule{{
 		{"X-Unprocessed", Is, "1", Meaning{Hidden, Never, Strained}}}}}
 	for i := range s.status {
 		s.status[i] = Meaning{Hidden, Maybe, Fault}
