--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -90,7 +90,8 @@
 	// Window is how long a failed member may still be alive behind a partition and send requests to
 	// hosts; default 60 s.
 	Window time.Duration
-	// Settle is how long a new member must stay reached before it gets a position; default 2 s. An
+	// Settle is how long a new member must stay reached before it gets a position; default 2 s. A
+	// member that is reached within Settle of the registry's creation gets one immediately, and an
 	// announced leave takes effect immediately.
 	Settle time.Duration
 	// Patience is how long a failed member keeps its position, counted from when it was last reached;
@@ -123,8 +124,8 @@
 // budgets by Most, its subset of the hosts by Least. See docs/design/gossip.md.
 type View struct {
 	Version int // increases with each change of the fields below
-	// Typed reports that the configured values are used, because no other gateway was ever
-	// seen, none can still be running, or the registry was created less than Settle ago.
+	// Typed reports that the configured values are used, because no other gateway was ever seen,
+	// none can still be running, or the registry was created less than Settle ago.
 	Typed             bool
 	Count, Rank       int
 	Least, Most       int
@@ -196,7 +197,8 @@
 }
 
 // MarkAlive records that failure detection considers a member alive, with the information that it
-// reports about itself. A new member is ignored if the registry is full and has none to evict.
+// reports about itself. This gateway and empty names are ignored, and so is a new member if the
+// registry is full and has none to evict.
 func (r *Registry) MarkAlive(now time.Duration, m Member) {
 	if m.Name == r.cfg.Self.Name || m.Name == "" {
 		return
@@ -413,6 +415,7 @@
 	}
 }
 
+// side returns the side of a partition for the numbers of members reached and expected.
 func side(reached, expected int, floor float64) Side {
 	switch fraction := float64(reached) / float64(max(expected, 1)); {
 	case fraction >= floor:
