--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -1,19 +1,23 @@
-// Package override keeps operators' overrides of hosts that are meant for the whole fleet: out of use, or back.
+// Package override replicates operators' overrides to all gateways of the fleet. An override takes a host
+// out of use (a ban) or puts it back into service.
 //
-// What a gateway keeps is one override a host, and of two overrides the same one counts at all gateways, in
-// whatever order and however often they come: the later by version, where each override said is later
-// than all that its gateway had heard. Overrides said on two sides of a cut may be of one version; then out
-// counts before back, so that nothing is sent to a host that one side wanted out. An override that was
-// held up, by a cut or in a gateway that was stopped, is older than what was said by those who had it,
-// and undoes nothing.
+// A gateway keeps one override per host. Of two overrides of one host, all gateways select the same one,
+// in whatever order and however often they receive them: the one with the higher version. A new override
+// gets a higher version than the one that its gateway has for the host. Overrides that are set on both
+// sides of a network partition may have the same version; then the one that takes the host out of use
+// prevails, so that nothing is sent to a host that one side has banned. An override that was delayed, by
+// a partition or in a gateway that was stopped, has a lower version than those set by gateways that had
+// already received it, and reverts nothing.
 //
-// The gateway at which an override is said tells all who live until each has said that it holds; the rest
-// is anti-entropy: gateways compare digests by turns, and give each other what differs. So a member
-// that was cut off has all overrides within Every of its return and a few round trips, and no packet flows for
-// overrides that all have, but one digest a gateway and Every.
+// The gateway at which an override is set sends it to all gateways that are alive until each has confirmed
+// that it has applied the override. The rest is left to anti-entropy: each gateway exchanges digests with
+// its peers in round-robin order, and both send each other the overrides that differ. A member that was cut
+// off therefore has all overrides within Every of its return plus a few round trips. While all gateways
+// have the same overrides, the only traffic is one digest per gateway and Every.
 //
-// It does no I/O and reads no clock, and knows neither pools nor who may speak: whoever can send it packets is
-// believed. A Store is not safe for concurrent use. docs/design/verdicts.md has the bounds.
+// The package performs no I/O and reads no clock: the caller passes the time. It has no notion of pools and
+// does not authenticate senders: packets from anyone who can deliver them in the name of a live peer are
+// accepted. A Store is not safe for concurrent use. docs/design/verdicts.md has the bounds.
 package override
 
 import (
@@ -29,15 +33,16 @@
 // Time is an instant on one process's clock, which never goes backward.
 type Time = time.Duration
 
-// Entry is what counts of a host.
+// Entry is the override on one host.
 type Entry struct {
 	Host    string
-	Out     bool   // not to be used
-	Version uint64 // 1 and up, by host
-	By      string // the gateway at which it was said
+	Out     bool   // out of use
+	Version uint64 // per host, starting at 1
+	By      string // the gateway at which the override was set
 }
 
-// after says whether w counts where both were said. It is a total order of the overrides of one host.
+// after reports whether w prevails over o, an override of the same host. The higher version prevails, then
+// out of use over back in service, then the greater By. This is a total order of the overrides of a host.
 func (w Entry) after(o Entry) bool {
 	if w.Version != o.Version {
 		return w.Version > o.Version
@@ -49,148 +54,156 @@
 }
 
 const (
-	// Step is how often Tick is to be called, and how soon an unanswered override is said again.
+	// Step is the interval at which Tick is to be called. An unconfirmed override is sent again after
+	// two steps.
 	Step = 50 * time.Millisecond
-	// Every is the time between two digests of one gateway.
+	// Every is the time between two periodic digests of one gateway.
 	Every = time.Second
-	// tellFor is how long an override is said again to those who do not answer. Anti-entropy does it later.
-	tellFor = 10 * time.Second
-	// keepBack is how long an override that calls back is kept: an override that is held up for longer than
-	// that counts again.
-	keepBack = 24 * time.Hour
+	// resendFor is how long an override is sent again to members that do not confirm it. After that,
+	// anti-entropy delivers it.
+	resendFor = 10 * time.Second
+	// returnedRetention is how long an override that puts a host back into service is kept. A ban that is
+	// delayed for longer than that takes effect again.
+	returnedRetention = 24 * time.Hour
 	// MaxHosts is the maximum number of overrides kept. At the limit, the oldest override that puts a
 	// host back into service is dropped to make room.
 	MaxHosts = 4096
-	// mostOwed bounds members that wait for an answer on one override.
-	mostOwed = 512
-	buckets  = 64 // of hosts, each with a digest
-	// mostEntries is from how many overrides of a difference on no more go out on one digest; the next has the rest.
-	mostEntries = 256
-	// reached is how many members that have come back are asked for their digests at once.
-	reached = 3
+	// maxWaiting is the maximum number of members that wait for the confirmation of one override.
+	maxWaiting  = 512
+	bucketCount = 64 // hosts are divided into buckets with a digest each
+	// minDiffEntries is the number of differing overrides from which no further bucket is sent in reply to
+	// one digest. The reply to the next digest continues with the remaining buckets.
+	minDiffEntries = 256
+	// maxNewPeers is the maximum number of new or returned members that are sent a digest at once.
+	maxNewPeers = 3
 )
 
-// ErrFull says that there are as many overrides as are kept.
+// ErrFull is returned if MaxHosts overrides are kept and all of them take hosts out of use.
 var ErrFull = errors.New("as many hosts as may be are out by operators' overrides")
 
-// record is the override on one host.
+// record is the override on one host with the state of its replication.
 type record struct {
 	Entry
-	since Time // it came
-	holds bool // the gateway has done it
-	// lack are the members that have not said that it holds there: only at the gateway at which it was
-	// said, for tellFor. nil: nobody is asked.
-	lack map[string]bool
-	told Time
-	owed []string // members that asked and are answered once it holds
+	since   Time // when this gateway received it
+	applied bool // this gateway has applied it
+	// unconfirmed are the members that have not confirmed that they have applied the override. It is set
+	// only at the gateway at which the override was set, for resendFor. It is nil when no confirmations
+	// are awaited.
+	unconfirmed map[string]bool
+	lastSent    Time
+	waiting     []string // members that requested a confirmation and have not received it yet
 }
 
-// Counts are totals since the start.
+// Counts are totals since the start of the Store.
 type Counts struct {
-	Sent, Taken, Strange int64 // packets; Strange ones could not be read or were nobody's
-	Dropped              int64 // overrides for which there was no room
+	Sent, Taken, Strange int64 // packets; Strange ones were malformed or not from a live peer
+	Dropped              int64 // overrides rejected for lack of room
 }
 
-// Store is what one gateway keeps.
+// Store holds the overrides of one gateway and replicates them. It is not safe for concurrent use.
 type Store struct {
-	self    string
-	now     Time
-	entries map[string]*record
-	busy    map[string]*record // those that somebody is asked about, or asks for
-	digests [buckets]uint64
-	others  []string // alive, in order
-	turn    int      // of others, for the next digest
-	next    Time     // when that goes
-	from    int      // the bucket with which the next difference begins
-	greet   []string // who has just come
-	out     []Packet
-	counts  Counts
+	self       string
+	now        Time
+	entries    map[string]*record
+	pending    map[string]*record // overrides that await confirmations or are to be confirmed to others
+	digests    [bucketCount]uint64
+	peers      []string // other gateways that are alive, sorted
+	peerIndex  int      // index in peers of the one that gets the next digest
+	nextDigest Time     // when the next periodic digest is due
+	nextBucket int      // the bucket with which the reply to the next digest begins
+	newPeers   []string // peers that have joined or returned since the last digests
+	out        []Packet
+	counts     Counts
 }
 
-// New makes a Store that knows nothing.
+// New returns an empty Store for the gateway named self.
 func New(self string) *Store {
-	return &Store{self: self, entries: map[string]*record{}, busy: map[string]*record{}}
+	return &Store{self: self, entries: map[string]*record{}, pending: map[string]*record{}}
 }
 
-// bucket is where a host's override belongs.
-func bucket(host string) int { return int(xxhash.Sum64String(host) % buckets) }
+// bucket returns the index of the bucket that a host's override belongs to.
+func bucket(host string) int { return int(xxhash.Sum64String(host) % bucketCount) }
 
-// sum is an override in the digest of its bucket.
-func (w Entry) sum() uint64 { return xxhash.Sum64(appendEntry(nil, w)) }
+// hash returns the hash of an override. The digest of a bucket is the XOR of the hashes of its overrides.
+func (w Entry) hash() uint64 { return xxhash.Sum64(appendEntry(nil, w)) }
 
-// SetAlive says who else is held alive.
+// SetAlive sets the gateways that are considered alive. This gateway's own name and duplicates are
+// ignored. The Store sends its digest to up to maxNewPeers new ones on the next Tick.
 func (b *Store) SetAlive(others []string) {
 	list := slices.DeleteFunc(slices.Clone(others), func(n string) bool { return n == b.self })
 	slices.Sort(list)
 	list = slices.Compact(list)
 	for _, n := range list {
-		if _, was := slices.BinarySearch(b.others, n); was {
+		if _, was := slices.BinarySearch(b.peers, n); was {
 			continue
 		}
-		if len(b.greet) < reached {
-			b.greet = append(b.greet, n)
+		if len(b.newPeers) < maxNewPeers {
+			b.newPeers = append(b.newPeers, n)
 		}
-		for _, e := range b.busy { // a yes is that of all who live
-			if e.lack != nil {
-				e.lack[n] = true
+		for _, e := range b.pending { // a confirmed override is confirmed by all that are alive
+			if e.unconfirmed != nil {
+				e.unconfirmed[n] = true
 			}
 		}
 	}
-	b.others = list
+	b.peers = list
 }
 
-// Alive is how many gateways live as far as is known, this one among them.
-func (b *Store) Alive() int { return len(b.others) + 1 }
+// Alive returns the number of gateways that are considered alive, including this one.
+func (b *Store) Alive() int { return len(b.peers) + 1 }
 
-// Set is an operator's override at this gateway, from now on the one that counts. It is to be carried out here, and Holds
-// to be called, like those that Take returns.
+// Set records an operator's override at this gateway. It prevails over the earlier override of the host.
+// The caller is to apply it and then to call Done, as for the overrides that Take returns. Set returns
+// ErrFull if there is no room.
 func (b *Store) Set(now Time, host string, out bool) (Entry, error) {
 	b.now = max(b.now, now)
 	w := Entry{Host: host, Out: out, Version: 1, By: b.self}
 	if e := b.entries[host]; e != nil {
 		w.Version = e.Version + 1
 	}
-	e := b.keep(w)
+	e := b.insert(w)
 	if e == nil {
 		return w, ErrFull
 	}
-	e.lack = map[string]bool{}
-	for _, n := range b.others {
-		e.lack[n] = true
+	e.unconfirmed = map[string]bool{}
+	for _, n := range b.peers {
+		e.unconfirmed[n] = true
 	}
-	b.busy[host] = e
+	b.pending[host] = e
 	return w, nil
 }
 
-// Adopt takes over an override of the process before, which did it; what is none of a member's, or older than what
-// counts, is dropped.
+// Adopt takes over an override that the previous process has applied. An override that is invalid or
+// does not prevail over the present one is ignored.
 func (b *Store) Adopt(now Time, w Entry) {
 	b.now = max(b.now, now)
 	if e := b.entries[w.Host]; !w.valid() || e != nil && !w.after(e.Entry) {
 		return
 	}
-	if e := b.keep(w); e != nil {
-		e.holds = true
+	if e := b.insert(w); e != nil {
+		e.applied = true
 	}
 }
 
-// keep takes an override over, later than what there was; nil: there is no room.
-func (b *Store) keep(w Entry) *record {
+// insert stores an override that prevails over the present one of its host. It returns nil if there is no
+// room.
+func (b *Store) insert(w Entry) *record {
 	i, e := bucket(w.Host), b.entries[w.Host]
 	if e != nil {
-		b.digests[i] ^= e.sum()
+		b.digests[i] ^= e.hash()
 	} else if len(b.entries) >= MaxHosts && !b.makeRoom() {
 		b.counts.Dropped++
 		return nil
 	}
 	e = &record{Entry: w, since: b.now}
 	b.entries[w.Host] = e
-	delete(b.busy, w.Host) // who asked for the override before it is told of this one
-	b.digests[i] ^= e.sum()
+	delete(b.pending, w.Host) // members that wait for the confirmation of the replaced override get this one
+	b.digests[i] ^= e.hash()
 	return e
 }
 
-// makeRoom forgets the oldest override that calls back.
+// makeRoom removes the oldest override that puts a host back into service. It returns false if there is
+// none.
 func (b *Store) makeRoom() bool {
 	var oldest *record
 	for _, e := range b.entries {
@@ -201,97 +214,103 @@
 	if oldest == nil {
 		return false
 	}
-	b.forget(oldest)
+	b.remove(oldest)
 	return true
 }
 
-func (b *Store) forget(e *record) {
-	b.digests[bucket(e.Host)] ^= e.sum()
+// remove deletes an override and takes it out of the digest of its bucket.
+func (b *Store) remove(e *record) {
+	b.digests[bucket(e.Host)] ^= e.hash()
 	delete(b.entries, e.Host)
-	delete(b.busy, e.Host)
+	delete(b.pending, e.Host)
 }
 
-// Done says that the gateway does what an override says. It does nothing for one that counts no more.
+// Done records that this gateway has applied an override. It does nothing if another override has replaced
+// w.
 func (b *Store) Done(w Entry) {
 	if e := b.entries[w.Host]; e != nil && e.Entry == w {
-		e.holds = true
+		e.applied = true
 	}
 }
 
-// Tick returns what is to be sent. The list is the caller's until the next call.
+// Tick returns the packets to be sent: overrides that are not confirmed yet, confirmations and digests. The
+// slice is valid until the next call of Tick or Take.
 func (b *Store) Tick(now Time) []Packet {
 	b.now = max(b.now, now)
 	b.out = b.out[:0]
-	say := map[string][]Entry{}    // to be answered, by member
-	answer := map[string][]Entry{} // that hold
-	for _, host := range slices.Sorted(maps.Keys(b.busy)) {
-		e := b.busy[host]
+	requests := map[string][]Entry{} // overrides to be confirmed, by member
+	replies := map[string][]Entry{}  // confirmations, by member
+	for _, host := range slices.Sorted(maps.Keys(b.pending)) {
+		e := b.pending[host]
 		switch {
-		case e.lack != nil && (len(e.lack) == 0 && e.holds || b.now-e.since >= tellFor):
-			e.lack = nil
-		case e.lack != nil && (e.told == 0 || b.now-e.told >= 2*Step):
-			e.told = b.now
-			for _, n := range b.others {
-				if e.lack[n] {
-					say[n] = append(say[n], e.Entry)
+		case e.unconfirmed != nil && (len(e.unconfirmed) == 0 && e.applied || b.now-e.since >= resendFor):
+			e.unconfirmed = nil
+		case e.unconfirmed != nil && (e.lastSent == 0 || b.now-e.lastSent >= 2*Step):
+			e.lastSent = b.now
+			for _, n := range b.peers {
+				if e.unconfirmed[n] {
+					requests[n] = append(requests[n], e.Entry)
 				}
 			}
 		}
-		if e.holds {
-			for _, n := range e.owed {
-				answer[n] = append(answer[n], e.Entry)
+		if e.applied {
+			for _, n := range e.waiting {
+				replies[n] = append(replies[n], e.Entry)
 			}
-			e.owed = nil
+			e.waiting = nil
 		}
-		if e.lack == nil && e.owed == nil {
-			delete(b.busy, host)
+		if e.unconfirmed == nil && e.waiting == nil {
+			delete(b.pending, host)
 		}
 	}
-	for _, n := range b.others {
-		b.send(n, asks, say[n])
-		b.send(n, holds, answer[n])
+	for _, n := range b.peers {
+		b.send(n, confirmRequest, requests[n])
+		b.send(n, confirmation, replies[n])
 	}
-	if len(b.others) > 0 && (b.now >= b.next || len(b.greet) > 0) {
-		to := b.greet
-		if b.greet = nil; b.now >= b.next {
-			b.age()
-			b.turn = (b.turn + 1) % len(b.others)
-			to = append(to, b.others[b.turn])
-			b.next = b.now + Every
+	if len(b.peers) > 0 && (b.now >= b.nextDigest || len(b.newPeers) > 0) {
+		to := b.newPeers
+		if b.newPeers = nil; b.now >= b.nextDigest {
+			b.expire()
+			b.peerIndex = (b.peerIndex + 1) % len(b.peers)
+			to = append(to, b.peers[b.peerIndex])
+			b.nextDigest = b.now + Every
 		}
 		for _, n := range to {
-			b.put(n, message{kind: compares, digests: b.digests})
+			b.enqueue(n, message{kind: digestRequest, digests: b.digests})
 		}
 	}
 	b.counts.Sent += int64(len(b.out))
 	return b.out
 }
 
-// age forgets overrides that call back and are old.
-func (b *Store) age() {
+// expire removes the overrides that put hosts back into service and are older than returnedRetention.
+func (b *Store) expire() {
 	for _, e := range b.entries {
-		if !e.Out && b.now-e.since >= keepBack {
-			b.forget(e)
+		if !e.Out && b.now-e.since >= returnedRetention {
+			b.remove(e)
 		}
 	}
 }
 
-// send says overrides of one kind to a member.
+// send queues overrides for a member in messages of one kind, in as many packets as are needed.
 func (b *Store) send(to string, k kind, entries []Entry) {
 	for len(entries) > 0 {
-		n := fitting(entries)
-		b.put(to, message{kind: k, entries: entries[:n]})
+		n := fitCount(entries)
+		b.enqueue(to, message{kind: k, entries: entries[:n]})
 		entries = entries[n:]
 	}
 }
 
-func (b *Store) put(to string, m message) {
+// enqueue encodes a message from this gateway and adds it to the packets to be sent.
+func (b *Store) enqueue(to string, m message) {
 	m.from = b.self
 	b.out = append(b.out, Packet{To: to, Data: m.encode()})
 }
 
-// Take takes in what another gateway says: what is to be sent at once, and the overrides that count from now on and
-// are to be carried out here. Both are the caller's until the next call.
+// Take processes a packet from another gateway. It returns the packets to be sent at once and the overrides
+// that are new here, which the caller is to apply before it calls Done for each. The packets are valid
+// until the next call of Tick or Take. A packet that is malformed, or whose sender is not a live peer, is
+// counted and dropped.
 func (b *Store) Take(now Time, data []byte) (out []Packet, entries []Entry) {
 	b.now = max(b.now, now)
 	b.out = b.out[:0]
@@ -300,17 +319,17 @@
 		b.counts.Strange++
 		return nil, nil
 	}
-	if _, member := slices.BinarySearch(b.others, m.from); !member {
-		b.counts.Strange++ // this gateway, or nobody who is known to live
+	if _, member := slices.BinarySearch(b.peers, m.from); !member {
+		b.counts.Strange++ // from this gateway itself, or a sender that is not alive
 		return nil, nil
 	}
 	b.counts.Taken++
-	var newer []Entry // that the reporter lacks
+	var newer []Entry // overrides that the sender lacks
 	for _, w := range m.entries {
 		e := b.entries[w.Host]
 		switch {
 		case e == nil || w.after(e.Entry):
-			if e = b.keep(w); e == nil {
+			if e = b.insert(w); e == nil {
 				continue
 			}
 			entries = append(entries, w)
@@ -318,64 +337,67 @@
 			newer = append(newer, e.Entry)
 			continue
 		}
-		switch { // it counts here, and the reporter has it
-		case m.kind == holds:
-			delete(e.lack, m.from)
-		case m.kind == asks && len(e.owed) < mostOwed && !slices.Contains(e.owed, m.from):
-			e.owed = append(e.owed, m.from)
-			b.busy[e.Host] = e
+		switch { // the override prevails here, and the sender has it
+		case m.kind == confirmation:
+			delete(e.unconfirmed, m.from)
+		case m.kind == confirmRequest && len(e.waiting) < maxWaiting && !slices.Contains(e.waiting, m.from):
+			e.waiting = append(e.waiting, m.from)
+			b.pending[e.Host] = e
 		}
 	}
-	b.send(m.from, tells, newer)
-	if m.kind == compares || m.kind == answers {
+	b.send(m.from, update, newer)
+	if m.kind == digestRequest || m.kind == digestReply {
 		b.compare(&m)
 	}
 	b.counts.Sent += int64(len(b.out))
 	return b.out, entries
 }
 
-// compare gives the reporter of a digest what it may lack.
+// compare sends the sender of a digest the overrides of the buckets that differ.
 func (b *Store) compare(m *message) {
 	if m.digests == b.digests {
 		return
 	}
-	var differ [buckets][]Entry
+	var differ [bucketCount][]Entry
 	for host, e := range b.entries {
 		if i := bucket(host); m.digests[i] != b.digests[i] {
 			differ[i] = append(differ[i], e.Entry)
 		}
 	}
 	var entries []Entry
-	for range buckets { // whole buckets, which are alike then; the next difference begins behind them
-		if len(entries) >= mostEntries {
+	for range bucketCount { // whole buckets, so that their digests match afterwards
+		if len(entries) >= minDiffEntries {
 			break
 		}
-		slices.SortFunc(differ[b.from], func(x, y Entry) int { return cmp.Compare(x.Host, y.Host) })
-		entries = append(entries, differ[b.from]...)
-		b.from = (b.from + 1) % buckets
+		slices.SortFunc(differ[b.nextBucket], func(x, y Entry) int { return cmp.Compare(x.Host, y.Host) })
+		entries = append(entries, differ[b.nextBucket]...)
+		b.nextBucket = (b.nextBucket + 1) % bucketCount
 	}
-	b.send(m.from, tells, entries)
-	if m.kind == compares { // and the other way round
-		b.put(m.from, message{kind: answers, digests: b.digests})
+	b.send(m.from, update, entries)
+	if m.kind == digestRequest { // request the overrides that this gateway lacks
+		b.enqueue(m.from, message{kind: digestReply, digests: b.digests})
 	}
 }
 
-// Status is an override as operators are shown it.
+// Status is the state of an override as shown to operators.
 type Status struct {
 	Entry
-	Age   time.Duration // since it came here
-	Holds bool          // here
-	// Asked says that the members that Lack are known: at the gateway at which it was said, for a while.
+	Age   time.Duration // since this gateway received it
+	Holds bool          // this gateway has applied it
+	// Asked reports whether Lack and Away are known. They are known only at the gateway at which the
+	// override was set, until all members have confirmed or resendFor has passed.
 	Asked bool
-	Lack  []string // live, and have not said that it holds there
-	// Away are members that were alive when it was said and are not now: they get it when they return.
+	Lack  []string // live members that have not confirmed it
+	// Away are members that have not confirmed and are not considered alive now. They receive the
+	// override when they return.
 	Away []string
 }
 
+// status returns the status of an override and splits its unconfirmed members into live and absent ones.
 func (b *Store) status(e *record) Status {
-	s := Status{Entry: e.Entry, Age: b.now - e.since, Holds: e.holds, Asked: e.lack != nil}
-	for _, n := range slices.Sorted(maps.Keys(e.lack)) {
-		if _, alive := slices.BinarySearch(b.others, n); alive {
+	s := Status{Entry: e.Entry, Age: b.now - e.since, Holds: e.applied, Asked: e.unconfirmed != nil}
+	for _, n := range slices.Sorted(maps.Keys(e.unconfirmed)) {
+		if _, alive := slices.BinarySearch(b.peers, n); alive {
 			s.Lack = append(s.Lack, n)
 		} else {
 			s.Away = append(s.Away, n)
@@ -384,7 +406,7 @@
 	return s
 }
 
-// Lookup is the override on a host; false: there is none.
+// Lookup returns the status of the override on a host, and false if there is none.
 func (b *Store) Lookup(now Time, host string) (Status, bool) {
 	b.now = max(b.now, now)
 	e := b.entries[host]
@@ -394,7 +416,7 @@
 	return b.status(e), true
 }
 
-// Status is all overrides by host.
+// Status returns the status of all overrides, sorted by host.
 func (b *Store) Status(now Time) (list []Status) {
 	b.now = max(b.now, now)
 	for _, e := range b.entries {
@@ -404,7 +426,7 @@
 	return list
 }
 
-// Out are the hosts that are out, in order.
+// Out returns the hosts that are out of use, sorted.
 func (b *Store) Out() (hosts []string) {
 	for _, e := range b.entries {
 		if e.Out {
@@ -415,5 +437,5 @@
 	return hosts
 }
 
-// Counts are the totals.
+// Counts returns the totals since the start of the Store.
 func (b *Store) Counts() Counts { return b.counts }
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -13,18 +13,18 @@
 // fleet is gateways that tell each other overrides over a network that loses, doubles, delays and is cut, on one
 // clock set by hand. All follows from a seed.
 type fleet struct {
-	r     *rand.Rand
-	now   Time
-	names []string
-	books []*Store
-	does  []map[string]Entry // what each gateway has carried out
-	side  []int              // those of one side hear each other
-	loss  float64
-	mail  []letter
-	sent  int
+	r         *rand.Rand
+	now       Time
+	names     []string
+	stores    []*Store
+	applied   []map[string]Entry // what each gateway has carried out
+	partition []int              // those of one side hear each other
+	loss      float64
+	packets   []delivery
+	sent      int
 }
 
-type letter struct {
+type delivery struct {
 	at   Time
 	to   string
 	from int
@@ -32,28 +32,28 @@
 }
 
 func newFleet(seed uint64, n int) *fleet {
-	f := &fleet{r: rand.New(rand.NewPCG(seed, 41)), now: time.Second, side: make([]int, n)}
+	f := &fleet{r: rand.New(rand.NewPCG(seed, 41)), now: time.Second, partition: make([]int, n)}
 	for g := range n {
 		f.names = append(f.names, fmt.Sprintf("g%03d", g))
 	}
 	for g := range n {
-		f.books = append(f.books, nil)
-		f.does = append(f.does, nil)
+		f.stores = append(f.stores, nil)
+		f.applied = append(f.applied, nil)
 		f.restart(g)
 	}
-	f.see()
+	f.updateViews()
 	return f
 }
 
 // restart has a gateway begin with nothing.
-func (f *fleet) restart(g int) { f.books[g], f.does[g] = New(f.names[g]), map[string]Entry{} }
+func (f *fleet) restart(g int) { f.stores[g], f.applied[g] = New(f.names[g]), map[string]Entry{} }
 
 // see gives each gateway its view.
-func (f *fleet) see() {
-	for g, b := range f.books {
+func (f *fleet) updateViews() {
+	for g, b := range f.stores {
 		var alive []string
 		for i, n := range f.names {
-			if f.side[i] == f.side[g] {
+			if f.partition[i] == f.partition[g] {
 				alive = append(alive, n)
 			}
 		}
@@ -65,7 +65,7 @@
 	f.sent += len(out)
 	for _, p := range out {
 		for f.r.Float64() >= f.loss {
-			f.mail = append(f.mail, letter{f.now + time.Duration(f.r.IntN(20))*time.Millisecond, p.To, g, p.Data})
+			f.packets = append(f.packets, delivery{f.now + time.Duration(f.r.IntN(20))*time.Millisecond, p.To, g, p.Data})
 			if f.r.IntN(10) > 0 { // the rest comes twice, or more often
 				break
 			}
@@ -73,24 +73,24 @@
 	}
 }
 
-func (f *fleet) do(g int, w Entry) {
-	f.does[g][w.Host] = w
-	f.books[g].Done(w)
+func (f *fleet) apply(g int, w Entry) {
+	f.applied[g][w.Host] = w
+	f.stores[g].Done(w)
 }
 
-func (f *fleet) say(g int, host string, out bool) Entry {
-	w, err := f.books[g].Set(f.now, host, out)
+func (f *fleet) setOverride(g int, host string, out bool) Entry {
+	w, err := f.stores[g].Set(f.now, host, out)
 	if err != nil {
 		panic(err)
 	}
-	f.do(g, w)
+	f.apply(g, w)
 	return w
 }
 
-func (f *fleet) run(length time.Duration, over func() bool) bool {
+func (f *fleet) run(length time.Duration, done func() bool) bool {
 	for end := f.now + length; f.now < end; f.now += 5 * time.Millisecond {
-		var due []letter
-		f.mail = slices.DeleteFunc(f.mail, func(l letter) bool {
+		var due []delivery
+		f.packets = slices.DeleteFunc(f.packets, func(l delivery) bool {
 			if l.at > f.now {
 				return false
 			}
@@ -99,35 +99,35 @@
 		})
 		for _, l := range due {
 			to := slices.Index(f.names, l.to)
-			if f.side[to] != f.side[l.from] {
+			if f.partition[to] != f.partition[l.from] {
 				continue
 			}
-			out, entries := f.books[to].Take(f.now, l.data)
+			out, entries := f.stores[to].Take(f.now, l.data)
 			f.send(to, slices.Clone(out))
 			for _, w := range entries {
-				f.do(to, w)
+				f.apply(to, w)
 			}
 		}
-		for g, b := range f.books {
+		for g, b := range f.stores {
 			if (f.now/(5*time.Millisecond)+Time(g))%Time(Step/(5*time.Millisecond)) == 0 {
 				f.send(g, slices.Clone(b.Tick(f.now)))
 			}
 		}
-		if over != nil && over() {
+		if done != nil && done() {
 			return true
 		}
 	}
-	return over == nil
+	return done == nil
 }
 
 // alike says whether all do the same.
-func (f *fleet) alike() bool {
-	for g := range f.does {
-		if f.books[g].digests != f.books[0].digests || len(f.does[g]) != len(f.does[0]) {
+func (f *fleet) converged() bool {
+	for g := range f.applied {
+		if f.stores[g].digests != f.stores[0].digests || len(f.applied[g]) != len(f.applied[0]) {
 			return false
 		}
-		for host, w := range f.does[0] {
-			if f.does[g][host] != w {
+		for host, w := range f.applied[0] {
+			if f.applied[g][host] != w {
 				return false
 			}
 		}
@@ -144,57 +144,57 @@
 		f := newFleet(seed, n)
 		f.loss = []float64{0, 0.1, 0.3}[r.IntN(3)]
 		last := map[string]Entry{}
-		began := map[Entry]Time{}
+		unconfirmed := map[Entry]Time{}
 		for range 3 + r.IntN(12) {
 			switch r.IntN(5) {
 			case 0:
-				for g := range f.side {
-					f.side[g] = r.IntN(3)
+				for g := range f.partition {
+					f.partition[g] = r.IntN(3)
 				}
-				f.see()
+				f.updateViews()
 			case 1: // one begins anew: what it alone knew is gone, what others have comes back to it
 				g := r.IntN(n)
-				if status := f.books[g].Status(f.now); !slices.ContainsFunc(status, func(s Status) bool { return s.By == f.names[g] }) {
+				if status := f.stores[g].Status(f.now); !slices.ContainsFunc(status, func(s Status) bool { return s.By == f.names[g] }) {
 					f.restart(g)
-					f.see()
+					f.updateViews()
 				}
 			default:
 				g := r.IntN(n)
-				w := f.say(g, fmt.Sprintf("h%d", r.IntN(3)), r.IntN(2) == 0)
+				w := f.setOverride(g, fmt.Sprintf("h%d", r.IntN(3)), r.IntN(2) == 0)
 				if w.after(last[w.Host]) {
 					last[w.Host] = w
 				}
-				began[w] = f.now
+				unconfirmed[w] = f.now
 			}
 			f.run(time.Duration(r.IntN(400))*time.Millisecond, func() bool {
-				for w := range began { // a yes is true of all who were alive and are
-					s, ok := f.books[slices.Index(f.names, w.By)].Lookup(f.now, w.Host)
+				for w := range unconfirmed { // a yes is true of all who were alive and are
+					s, ok := f.stores[slices.Index(f.names, w.By)].Lookup(f.now, w.Host)
 					if !ok || s.Entry != w || !s.Asked || !s.Holds || len(s.Lack)+len(s.Away) > 0 {
 						continue
 					}
-					for g, does := range f.does {
-						if d := does[w.Host]; w.after(d) && f.side[g] == f.side[slices.Index(f.names, w.By)] && d.Host != "" {
+					for g, applied := range f.applied {
+						if d := applied[w.Host]; w.after(d) && f.partition[g] == f.partition[slices.Index(f.names, w.By)] && d.Host != "" {
 							t.Fatalf("seed %d: %+v holds at all, and %s does %+v", seed, w, f.names[g], d)
 						}
 					}
-					delete(began, w)
+					delete(unconfirmed, w)
 				}
 				return false
 			})
 		}
-		for g := range f.side {
-			f.side[g] = 0
+		for g := range f.partition {
+			f.partition[g] = 0
 		}
-		f.see()
+		f.updateViews()
 		healed := f.now
-		if !f.run(20*Every, f.alike) {
+		if !f.run(20*Every, f.converged) {
 			t.Fatalf("seed %d: they do not agree 20 s after healing", seed)
 		}
 		if took := f.now - healed; f.loss == 0 && took > 2*Every {
 			t.Errorf("seed %d: agreed after %v", seed, took)
 		}
 		for host, w := range last {
-			if got := f.does[0][host]; got != w {
+			if got := f.applied[0][host]; got != w {
 				t.Errorf("seed %d: all do %+v, the last override is %+v", seed, got, w)
 			}
 		}
@@ -205,33 +205,33 @@
 // good, whoever comes late with it.
 func TestALateWordUndoesNothing(t *testing.T) {
 	f := newFleet(1, 3)
-	f.side = []int{0, 1, 1}
-	f.see()
-	f.say(0, "h", true)
-	f.say(1, "h", false)
+	f.partition = []int{0, 1, 1}
+	f.updateViews()
+	f.setOverride(0, "h", true)
+	f.setOverride(1, "h", false)
 	f.run(time.Second, nil)
-	if f.does[2]["h"].Out || !f.does[0]["h"].Out {
+	if f.applied[2]["h"].Out || !f.applied[0]["h"].Out {
 		t.Fatal("each side goes by its own override")
 	}
-	f.side = []int{0, 0, 0}
-	f.see()
-	f.run(3*Every, f.alike)
-	for g := range f.does {
-		if !f.does[g]["h"].Out {
+	f.partition = []int{0, 0, 0}
+	f.updateViews()
+	f.run(3*Every, f.converged)
+	for g := range f.applied {
+		if !f.applied[g]["h"].Out {
 			t.Errorf("%s uses it", f.names[g])
 		}
 	}
-	f.side = []int{0, 1, 1} // the first keeps the ban, the others call back and ban and call back
-	f.see()
+	f.partition = []int{0, 1, 1} // the first keeps the ban, the others call back and ban and call back
+	f.updateViews()
 	for _, out := range []bool{false, true, false} {
-		f.say(2, "h", out)
+		f.setOverride(2, "h", out)
 		f.run(200*time.Millisecond, nil)
 	}
-	f.side = []int{0, 0, 0}
-	f.see()
-	f.run(3*Every, f.alike)
-	for g := range f.does {
-		if f.does[g]["h"].Out {
+	f.partition = []int{0, 0, 0}
+	f.updateViews()
+	f.run(3*Every, f.converged)
+	for g := range f.applied {
+		if f.applied[g]["h"].Out {
 			t.Errorf("%s: a ban that was held up counts", f.names[g])
 		}
 	}
@@ -243,26 +243,26 @@
 	f := newFleet(1, 300)
 	for i := range 1000 {
 		w := Entry{Host: fmt.Sprintf("h%04d", i), Out: true, Version: 1, By: "g000"}
-		for g, b := range f.books {
-			b.keep(w)
-			f.do(g, w)
+		for g, b := range f.stores {
+			b.insert(w)
+			f.apply(g, w)
 		}
 	}
 	f.run(time.Second, nil)
 	if f.sent = 0; !f.run(10*time.Second, func() bool { return f.sent > 300*11 }) && f.sent > 300*11 {
 		t.Errorf("%d packets in 10 s of 300 gateways with nothing new", f.sent)
 	}
-	w := f.say(0, "h0007", false)
+	w := f.setOverride(0, "h0007", false)
 	if !f.run(400*time.Millisecond, func() bool {
-		s, _ := f.books[0].Lookup(f.now, "h0007")
+		s, _ := f.stores[0].Lookup(f.now, "h0007")
 		return s.Entry == w && len(s.Lack) == 0
 	}) {
 		t.Error("not all 300 have said that it holds")
 	}
 	f.restart(7)
-	f.see()
-	if !f.run(6*Every, f.alike) {
-		t.Errorf("one that began anew has %d overrides of 1000", len(f.does[7]))
+	f.updateViews()
+	if !f.run(6*Every, f.converged) {
+		t.Errorf("one that began anew has %d overrides of 1000", len(f.applied[7]))
 	}
 }
 
@@ -283,13 +283,13 @@
 	}
 	b.Set(now, "7", false)
 	b.SetAlive([]string{"h"})
-	b.Tick(now + keepBack)
-	if _, kept := b.Lookup(now+keepBack, "7"); kept {
+	b.Tick(now + returnedRetention)
+	if _, kept := b.Lookup(now+returnedRetention, "7"); kept {
 		t.Error("an override that calls back is kept for ever")
 	}
 	again := New("h")
 	for _, e := range b.entries {
-		again.keep(e.Entry)
+		again.insert(e.Entry)
 	}
 	if again.digests != b.digests {
 		t.Error("the digests are not those of the overrides")
@@ -303,27 +303,27 @@
 			return Entry{Host: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host"), Out: rapid.Bool().Draw(t, "out"),
 				Version: rapid.Uint64Range(1, 3).Draw(t, "version"), By: rapid.SampledFrom([]string{"x", "y"}).Draw(t, "by")}
 		}), 1, 12).Draw(t, "overrides")
-		var books [2]*Store
-		for i := range books {
+		var stores [2]*Store
+		for i := range stores {
 			b := New("me")
 			b.SetAlive([]string{"x", "y"})
 			list := rapid.Permutation(entries).Draw(t, "order")
 			for _, w := range append(list, list[:rapid.IntRange(0, len(list)).Draw(t, "twice")]...) {
-				m := message{kind: tells, from: "x", entries: []Entry{w}}
+				m := message{kind: update, from: "x", entries: []Entry{w}}
 				b.Take(time.Second, m.encode())
 			}
-			books[i] = b
+			stores[i] = b
 		}
-		if books[0].digests != books[1].digests {
-			t.Fatalf("%+v and %+v", books[0].Status(0), books[1].Status(0))
+		if stores[0].digests != stores[1].digests {
+			t.Fatalf("%+v and %+v", stores[0].Status(0), stores[1].Status(0))
 		}
 	})
 }
 
 // What comes from a socket neither breaks nor grows a book beyond its bound, and what is a message keeps its form.
 func FuzzTake(f *testing.F) {
-	for _, m := range []message{{kind: asks, from: "x", entries: []Entry{{Host: "h", Out: true, Version: 1, By: "x"}}},
-		{kind: holds, from: "x", entries: []Entry{{Host: "h", Version: 9, By: "y"}, {Host: "i", Version: 1, By: "y"}}}, {kind: compares, from: "x"}, {kind: answers, from: "x"}} {
+	for _, m := range []message{{kind: confirmRequest, from: "x", entries: []Entry{{Host: "h", Out: true, Version: 1, By: "x"}}},
+		{kind: confirmation, from: "x", entries: []Entry{{Host: "h", Version: 9, By: "y"}, {Host: "i", Version: 1, By: "y"}}}, {kind: digestRequest, from: "x"}, {kind: digestReply, from: "x"}} {
 		f.Add(m.encode())
 	}
 	f.Fuzz(func(t *testing.T, data []byte) {
--- a/internal/override/packet.go
+++ b/internal/override/packet.go
@@ -5,49 +5,52 @@
 	"unicode/utf8"
 )
 
-// Packet is to be sent to a member, as it is and at once; it may be lost, come twice or late.
+// Packet is a datagram to be sent to a member unchanged and at once. It may be lost, duplicated or delayed.
 type Packet struct {
 	To   string
 	Data []byte
 }
 
-// What members say to each other: a mark, a version, a kind, who speaks, and overrides or digests. A form
-// of another version is not read.
+// A packet consists of Mark, the packet version, the kind, the name of the sender, and overrides or digests.
+// Packets of another version are rejected.
 const (
-	// Mark is the first byte of each packet, by which it is told from others.
-	Mark          = 'E'
-	packetVersion = 1
-	mostName      = 64   // bytes of a gateway's name
-	mostHost      = 255  // bytes of a host's
-	mostBytes     = 1024 // of the overrides in a packet
-	entryBytes    = 1 + 8 + 1 + 1
+	// Mark is the first byte of each packet. It distinguishes the packets of this package from others.
+	Mark            = 'E'
+	packetVersion   = 1
+	maxNameBytes    = 64            // bytes of a gateway name
+	maxHostBytes    = 255           // bytes of a host
+	maxEntriesBytes = 1024          // bytes of the overrides in a packet
+	minEntryBytes   = 1 + 8 + 1 + 1 // bytes of an override without its names
 )
 
-// valid says whether a member may say the override.
+// valid reports whether the names and the version of an override are within their bounds.
 func (w Entry) valid() bool {
-	return name(w.Host, mostHost) && name(w.By, mostName) && w.Version > 0 && w.Version <= mostVersion
+	return validName(w.Host, maxHostBytes) && validName(w.By, maxNameBytes) && w.Version > 0 && w.Version <= maxVersion
 }
 
-func name(s string, most int) bool { return s != "" && len(s) <= most && utf8.ValidString(s) }
+// validName reports whether s is a non-empty valid UTF-8 string of at most limit bytes.
+func validName(s string, limit int) bool { return s != "" && len(s) <= limit && utf8.ValidString(s) }
 
+// kind is the kind of a message. Kinds from digestRequest on carry digests, the others overrides.
 type kind byte
 
 const (
-	asks     kind = iota // overrides: say when they hold with you
-	holds                // overrides that hold here
-	tells                // overrides that you may lack
-	compares             // digests: give me what I lack, and yours
-	answers              // digests: give me what I lack
+	confirmRequest kind = iota // overrides; asks the receiver to confirm them once applied
+	confirmation               // overrides that the sender has applied
+	update                     // overrides that the receiver may lack
+	digestRequest              // digests; asks for a digestReply and for the overrides that the sender lacks
+	digestReply                // digests; asks for the overrides that the sender lacks
 )
 
+// message is a decoded packet.
 type message struct {
 	kind    kind
 	from    string
 	entries []Entry
-	digests [buckets]uint64
+	digests [bucketCount]uint64
 }
 
-// appendWord is the form of an override, the same at all gateways.
+// appendEntry appends the encoding of an override, which is the same at all gateways: the digests hash it.
 func appendEntry(b []byte, w Entry) []byte {
 	out := byte(0)
 	if w.Out {
@@ -59,11 +62,11 @@
 	return append(append(b, byte(len(w.By))), w.By...)
 }
 
-// fitting is how many of the overrides go in one packet, one at least.
-func fitting(entries []Entry) int {
+// fitCount returns how many of the overrides fit in one packet, at least 1 unless there are none.
+func fitCount(entries []Entry) int {
 	n, size := 0, 0
 	for _, w := range entries {
-		if size += entryBytes + len(w.Host) + len(w.By); n > 0 && size > mostBytes {
+		if size += minEntryBytes + len(w.Host) + len(w.By); n > 0 && size > maxEntriesBytes {
 			break
 		}
 		n++
@@ -71,10 +74,11 @@
 	return n
 }
 
+// encode returns the message as a packet.
 func (m *message) encode() []byte {
 	b := []byte{Mark, packetVersion, byte(m.kind), byte(len(m.from))}
 	b = append(b, m.from...)
-	if m.kind >= compares {
+	if m.kind >= digestRequest {
 		for _, d := range m.digests {
 			b = binary.BigEndian.AppendUint64(b, d)
 		}
@@ -86,18 +90,18 @@
 	return b
 }
 
-// decode reads what came from a peer; false: it is nothing that a member says.
+// decode reads a packet from a peer. It returns false if the packet is malformed.
 func (m *message) decode(b []byte) bool {
-	if len(b) < 4 || b[0] != Mark || b[1] != packetVersion || kind(b[2]) > answers {
+	if len(b) < 4 || b[0] != Mark || b[1] != packetVersion || kind(b[2]) > digestReply {
 		return false
 	}
 	m.kind = kind(b[2])
 	var ok bool
-	if m.from, b, ok = cutName(b[3:]); !ok || !name(m.from, mostName) {
+	if m.from, b, ok = cutName(b[3:]); !ok || !validName(m.from, maxNameBytes) {
 		return false
 	}
-	if m.kind >= compares {
-		if len(b) != 8*buckets {
+	if m.kind >= digestRequest {
+		if len(b) != 8*bucketCount {
 			return false
 		}
 		for i := range m.digests {
@@ -106,7 +110,7 @@
 		return true
 	}
 	for len(b) > 0 {
-		if len(b) < entryBytes || b[0] > 1 {
+		if len(b) < minEntryBytes || b[0] > 1 {
 			return false
 		}
 		w := Entry{Out: b[0] == 1, Version: binary.BigEndian.Uint64(b[1:])}
@@ -121,11 +125,11 @@
 	return len(m.entries) > 0
 }
 
-// mostVersion is far more than operators say: one who claims the last version there is would leave no room
-// for later overrides.
-const mostVersion = 1 << 62
+// maxVersion is far more than operators can reach. The bound exists because an override with the maximum
+// value of the type would leave no version for later overrides.
+const maxVersion = 1 << 62
 
-// cutName takes a name with its length before it.
+// cutName reads a name that is preceded by its length in one byte, and returns the bytes after it.
 func cutName(b []byte) (s string, rest []byte, ok bool) {
 	if len(b) == 0 || len(b) < 1+int(b[0]) {
 		return "", nil, false
