--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -129,8 +129,8 @@
 
 // SetAlive sets the gateways that are considered alive. This gateway's own name and duplicates are
 // ignored. The Store sends its digest to up to maxNewPeers new ones on the next Tick.
-func (b *Store) SetAlive(others []string) {
-	list := slices.DeleteFunc(slices.Clone(others), func(n string) bool { return n == b.self })
+func (b *Store) SetAlive(peers []string) {
+	list := slices.DeleteFunc(slices.Clone(peers), func(n string) bool { return n == b.self })
 	slices.Sort(list)
 	list = slices.Compact(list)
 	for _, n := range list {
--- a/internal/override/override_test.go
+++ b/internal/override/override_test.go
@@ -10,20 +10,21 @@
 	"pgregory.net/rapid"
 )
 
-// fleet is gateways that tell each other overrides over a network that loses, doubles, delays and is cut, on one
-// clock set by hand. All follows from a seed.
+// fleet simulates gateways that replicate overrides over a network that loses, duplicates and delays packets
+// and can be partitioned. All share one clock that run advances. A run is determined by its seed.
 type fleet struct {
 	r         *rand.Rand
 	now       Time
 	names     []string
 	stores    []*Store
-	applied   []map[string]Entry // what each gateway has carried out
-	partition []int              // those of one side hear each other
+	applied   []map[string]Entry // by gateway: the overrides that it has applied, by host
+	partition []int              // by gateway: only gateways with the same number reach each other
 	loss      float64
 	packets   []delivery
 	sent      int
 }
 
+// delivery is a packet in transit.
 type delivery struct {
 	at   Time
 	to   string
@@ -45,10 +46,10 @@
 	return f
 }
 
-// restart has a gateway begin with nothing.
+// restart replaces a gateway by one with an empty Store.
 func (f *fleet) restart(g int) { f.stores[g], f.applied[g] = New(f.names[g]), map[string]Entry{} }
 
-// see gives each gateway its view.
+// updateViews sets the gateways that each gateway considers alive: those on its side of the partition.
 func (f *fleet) updateViews() {
 	for g, b := range f.stores {
 		var alive []string
@@ -66,18 +67,20 @@
 	for _, p := range out {
 		for f.r.Float64() >= f.loss {
 			f.packets = append(f.packets, delivery{f.now + time.Duration(f.r.IntN(20))*time.Millisecond, p.To, g, p.Data})
-			if f.r.IntN(10) > 0 { // the rest comes twice, or more often
+			if f.r.IntN(10) > 0 { // one packet in ten is duplicated, perhaps more than once
 				break
 			}
 		}
 	}
 }
 
+// apply has a gateway apply an override at once.
 func (f *fleet) apply(g int, w Entry) {
 	f.applied[g][w.Host] = w
 	f.stores[g].Done(w)
 }
 
+// setOverride sets and applies an override at one gateway.
 func (f *fleet) setOverride(g int, host string, out bool) Entry {
 	w, err := f.stores[g].Set(f.now, host, out)
 	if err != nil {
@@ -87,22 +90,24 @@
 	return w
 }
 
+// run advances the clock by length, or until done returns true. It returns false if done is not nil and never
+// returned true.
 func (f *fleet) run(length time.Duration, done func() bool) bool {
 	for end := f.now + length; f.now < end; f.now += 5 * time.Millisecond {
 		var due []delivery
-		f.packets = slices.DeleteFunc(f.packets, func(l delivery) bool {
-			if l.at > f.now {
+		f.packets = slices.DeleteFunc(f.packets, func(d delivery) bool {
+			if d.at > f.now {
 				return false
 			}
-			due = append(due, l)
+			due = append(due, d)
 			return true
 		})
-		for _, l := range due {
-			to := slices.Index(f.names, l.to)
-			if f.partition[to] != f.partition[l.from] {
+		for _, d := range due {
+			to := slices.Index(f.names, d.to)
+			if f.partition[to] != f.partition[d.from] {
 				continue
 			}
-			out, entries := f.stores[to].Take(f.now, l.data)
+			out, entries := f.stores[to].Take(f.now, d.data)
 			f.send(to, slices.Clone(out))
 			for _, w := range entries {
 				f.apply(to, w)
@@ -120,7 +125,7 @@
 	return done == nil
 }
 
-// alike says whether all do the same.
+// converged reports whether all gateways have applied the same overrides and have the same digests.
 func (f *fleet) converged() bool {
 	for g := range f.applied {
 		if f.stores[g].digests != f.stores[0].digests || len(f.applied[g]) != len(f.applied[0]) {
@@ -135,9 +140,11 @@
 	return true
 }
 
-// Overrides of operators at any gateways, through loss, doubles, cuts in up to three sides and restarts: all who hear each other
-// do the same within the stated time, and it is the last override by version; what was said to all is true.
-func TestAllDoTheLastWord(t *testing.T) {
+// Overrides are set at random gateways under loss, duplicated packets, partitions with up to three sides, and
+// restarts. Once the network has healed, all gateways must apply the same override of each host within the
+// stated time, the one that prevails by version. An override that is reported as confirmed by all must not
+// be superseded by an older one at any gateway that is reachable.
+func TestAllApplyTheLastOverride(t *testing.T) {
 	for seed := uint64(1); seed <= 1500; seed++ {
 		r := rand.New(rand.NewPCG(seed, 1))
 		n := 2 + r.IntN(8)
@@ -152,7 +159,7 @@
 					f.partition[g] = r.IntN(3)
 				}
 				f.updateViews()
-			case 1: // one begins anew: what it alone knew is gone, what others have comes back to it
+			case 1: // only a gateway without overrides of its own restarts: it would lose those that it alone has
 				g := r.IntN(n)
 				if status := f.stores[g].Status(f.now); !slices.ContainsFunc(status, func(s Status) bool { return s.By == f.names[g] }) {
 					f.restart(g)
@@ -167,14 +174,14 @@
 				unconfirmed[w] = f.now
 			}
 			f.run(time.Duration(r.IntN(400))*time.Millisecond, func() bool {
-				for w := range unconfirmed { // a yes is true of all who were alive and are
+				for w := range unconfirmed { // no reachable gateway may still apply an older override than a confirmed one
 					s, ok := f.stores[slices.Index(f.names, w.By)].Lookup(f.now, w.Host)
 					if !ok || s.Entry != w || !s.Asked || !s.Holds || len(s.Lack)+len(s.Away) > 0 {
 						continue
 					}
 					for g, applied := range f.applied {
 						if d := applied[w.Host]; w.after(d) && f.partition[g] == f.partition[slices.Index(f.names, w.By)] && d.Host != "" {
-							t.Fatalf("seed %d: %+v holds at all, and %s does %+v", seed, w, f.names[g], d)
+							t.Fatalf("seed %d: %+v is confirmed by all, but %s applies %+v", seed, w, f.names[g], d)
 						}
 					}
 					delete(unconfirmed, w)
@@ -188,22 +195,23 @@
 		f.updateViews()
 		healed := f.now
 		if !f.run(20*Every, f.converged) {
-			t.Fatalf("seed %d: they do not agree 20 s after healing", seed)
+			t.Fatalf("seed %d: the gateways do not agree 20 s after the partition healed", seed)
 		}
 		if took := f.now - healed; f.loss == 0 && took > 2*Every {
 			t.Errorf("seed %d: agreed after %v", seed, took)
 		}
 		for host, w := range last {
 			if got := f.applied[0][host]; got != w {
-				t.Errorf("seed %d: all do %+v, the last override is %+v", seed, got, w)
+				t.Errorf("seed %d: all gateways apply %+v, the last override is %+v", seed, got, w)
 			}
 		}
 	}
 }
 
-// A ban and a call back in the instant of a cut are of one version: the ban counts. One who had heard the ban calls back for
-// good, whoever comes late with it.
-func TestALateWordUndoesNothing(t *testing.T) {
+// A ban and a return into service that are set on both sides of a partition have the same version: the ban must
+// prevail. A return into service by a gateway that has received the ban must not be reverted when the ban
+// arrives late from another gateway.
+func TestALateOverrideRevertsNothing(t *testing.T) {
 	f := newFleet(1, 3)
 	f.partition = []int{0, 1, 1}
 	f.updateViews()
@@ -211,17 +219,17 @@
 	f.setOverride(1, "h", false)
 	f.run(time.Second, nil)
 	if f.applied[2]["h"].Out || !f.applied[0]["h"].Out {
-		t.Fatal("each side goes by its own override")
+		t.Fatal("each side should apply its own override")
 	}
 	f.partition = []int{0, 0, 0}
 	f.updateViews()
 	f.run(3*Every, f.converged)
 	for g := range f.applied {
 		if !f.applied[g]["h"].Out {
-			t.Errorf("%s uses it", f.names[g])
+			t.Errorf("%s uses the banned host", f.names[g])
 		}
 	}
-	f.partition = []int{0, 1, 1} // the first keeps the ban, the others call back and ban and call back
+	f.partition = []int{0, 1, 1} // the first keeps the ban; the others put the host back, ban it and put it back
 	f.updateViews()
 	for _, out := range []bool{false, true, false} {
 		f.setOverride(2, "h", out)
@@ -232,14 +240,14 @@
 	f.run(3*Every, f.converged)
 	for g := range f.applied {
 		if f.applied[g]["h"].Out {
-			t.Errorf("%s: a ban that was held up counts", f.names[g])
+			t.Errorf("%s: a delayed ban takes effect", f.names[g])
 		}
 	}
 }
 
-// Three hundred with a thousand overrides cost a digest a second each when nothing is said, and one that begins anew has all
-// within some rounds; a yes comes from all who live.
-func TestManyWords(t *testing.T) {
+// 300 gateways with 1000 overrides send one digest per second each while nothing changes. All that are alive
+// confirm a new override, and a gateway that restarts with an empty Store has all overrides within 6 * Every.
+func TestManyOverrides(t *testing.T) {
 	f := newFleet(1, 300)
 	for i := range 1000 {
 		w := Entry{Host: fmt.Sprintf("h%04d", i), Out: true, Version: 1, By: "g000"}
@@ -257,17 +265,18 @@
 		s, _ := f.stores[0].Lookup(f.now, "h0007")
 		return s.Entry == w && len(s.Lack) == 0
 	}) {
-		t.Error("not all 300 have said that it holds")
+		t.Error("not all 300 gateways have confirmed the override")
 	}
 	f.restart(7)
 	f.updateViews()
 	if !f.run(6*Every, f.converged) {
-		t.Errorf("one that began anew has %d overrides of 1000", len(f.applied[7]))
+		t.Errorf("the restarted gateway has %d overrides of 1000", len(f.applied[7]))
 	}
 }
 
-// There is a bound, and overrides that call back make room.
-func TestWordsAreBounded(t *testing.T) {
+// The number of overrides is bounded. Overrides that put hosts back into service are dropped to make room, and
+// expire.
+func TestOverridesAreBounded(t *testing.T) {
 	b := New("g")
 	now := time.Second
 	for i := range MaxHosts {
@@ -276,7 +285,7 @@
 		}
 	}
 	if _, err := b.Set(now, "one more", true); err != nil {
-		t.Errorf("%v, though one override calls back", err)
+		t.Errorf("%v, though one override can be dropped to make room", err)
 	}
 	if _, err := b.Set(now, "and another", true); err != ErrFull {
 		t.Errorf("%v beyond the bound", err)
@@ -285,19 +294,19 @@
 	b.SetAlive([]string{"h"})
 	b.Tick(now + returnedRetention)
 	if _, kept := b.Lookup(now+returnedRetention, "7"); kept {
-		t.Error("an override that calls back is kept for ever")
+		t.Error("an override that puts a host back into service does not expire")
 	}
-	again := New("h")
+	rebuilt := New("h")
 	for _, e := range b.entries {
-		again.insert(e.Entry)
+		rebuilt.insert(e.Entry)
 	}
-	if again.digests != b.digests {
-		t.Error("the digests are not those of the overrides")
+	if rebuilt.digests != b.digests {
+		t.Error("the digests do not match the overrides")
 	}
 }
 
-// Overrides come in any order, any number of times, through anybody: what counts is the same.
-func TestWordsMerge(t *testing.T) {
+// The order in which overrides arrive and duplicates of them must not change which ones prevail.
+func TestOverridesMerge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		entries := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Entry {
 			return Entry{Host: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "host"), Out: rapid.Bool().Draw(t, "out"),
@@ -320,7 +329,8 @@
 	})
 }
 
-// What comes from a socket neither breaks nor grows a book beyond its bound, and what is a message keeps its form.
+// No packet may crash the Store or cause replies of more than 1300 bytes, and a packet that decodes must encode to
+// the same bytes.
 func FuzzTake(f *testing.F) {
 	for _, m := range []message{{kind: confirmRequest, from: "x", entries: []Entry{{Host: "h", Out: true, Version: 1, By: "x"}}},
 		{kind: confirmation, from: "x", entries: []Entry{{Host: "h", Version: 9, By: "y"}, {Host: "i", Version: 1, By: "y"}}}, {kind: digestRequest, from: "x"}, {kind: digestReply, from: "x"}} {
@@ -341,8 +351,8 @@
 		}
 		var m message
 		if m.decode(data) {
-			if again := m.encode(); string(again) != string(data) {
-				t.Errorf("%x became %x", data, again)
+			if encoded := m.encode(); string(encoded) != string(data) {
+				t.Errorf("%x became %x", data, encoded)
 			}
 		}
 	})
