--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -10,8 +10,9 @@
 // already received it, and reverts nothing.
 //
 // The gateway at which an override is set sends it to all gateways that are alive until each has confirmed
-// that it has applied the override. The rest is left to anti-entropy: each gateway exchanges digests with
-// its peers in round-robin order, and both send each other the overrides that differ. A member that was cut
+// that it has applied the override, or a time limit has passed. The rest is left to anti-entropy: each
+// gateway exchanges digests with its peers in round-robin order, and both send each other the overrides
+// that differ. A member that was cut
 // off therefore has all overrides within Every of its return plus a few round trips. While all gateways
 // have the same overrides, the only traffic is one digest per gateway and Every.
 //
@@ -78,7 +79,7 @@
 	maxNewPeers = 3
 )
 
-// ErrFull is returned if MaxHosts overrides are kept and all of them take hosts out of use.
+// ErrFull is returned by Set if MaxHosts overrides are kept and all of them take hosts out of use.
 var ErrFull = errors.New("as many hosts as may be are out by operators' overrides")
 
 // record is the override on one host with the state of its replication.
