--- a/internal/override/override.go
+++ b/internal/override/override.go
@@ -175,7 +175,7 @@
 }
 
 // Adopt takes over an override that the previous process has applied. An override that is invalid or
-// does not prevail over the present one is ignored.
+// does not prevail over the present one is ignored, and so is one for which there is no room.
 func (b *Store) Adopt(now Time, w Entry) {
 	b.now = max(b.now, now)
 	if e := b.entries[w.Host]; !w.valid() || e != nil && !w.after(e.Entry) {
@@ -198,7 +198,7 @@
 	}
 	e = &record{Entry: w, since: b.now}
 	b.entries[w.Host] = e
-	delete(b.pending, w.Host) // members that wait for the confirmation of the replaced override get this one
+	delete(b.pending, w.Host) // a member that asks again about the replaced override is sent this one
 	b.digests[i] ^= e.hash()
 	return e
 }
