--- a/balancer.go
+++ b/balancer.go
@@ -43,7 +43,7 @@
 
 	coldBudgetSigmas  = 3.0     // standard deviations that sends stay below the budget of a cold host
 	coldCreditSigmas  = 4.0     // standard deviations of the fleet's sends that unused credit may add
-	rateWindows       = 4       // averaging time of rates, in overload windows (Settings.Fall)
+	rateWindows       = 4       // averaging time of rates, in overload windows (Settings.OverloadWindow)
 	minRateFraction   = 1.0 / 8 // minimum fraction of that time that a short history counts as
 	quotaBurstSeconds = 1.0     // seconds of its quota that a tenant may accumulate
 
@@ -107,7 +107,8 @@
 	for _, c := range set.Classes {
 		b.shortestAim, b.longestAim = min(b.shortestAim, c.Aim), max(b.longestAim, c.Aim)
 	}
-	b.round, b.admitted, b.rateSpan, b.sharers = 1, 1, rateWindows*set.OverloadWindow.Seconds(), float64(set.Instances)
+	b.round, b.admitted, b.rateSpan, b.sharers = 1, 1, rateWindows*set.OverloadWindow.Seconds(),
+		float64(set.Instances)
 	b.fleetInfo = Fleet{RankPosition(set.Rank, set.Instances), set.Instances, set.Instances}
 	for _, t := range set.Tenants {
 		r := t.Quota / float64(set.Instances)
@@ -244,7 +245,7 @@
 	b.ring = b.ring[:first+len(without(b.ring[first:], b.ring[:first]))]
 	b.sharers = min(1, float64(b.subsetSize)/float64(max(b.warmHosts, 1))) * b.fleetSize
 	// The sharers of a cold host are the instances that reach it in their own zone or in any zone.
-	// If Least and Most differ, cold hosts are used only in the subset computed from Most, and one
+	// If Min and Max differ, cold hosts are used only in the subset computed from Max, and one
 	// more sharer is assumed because the positions of instances may disagree: so the shares of
 	// all instances sum up to at most one (docs/design/gossip.md).
 	minSize, slack := subsetSizeOf(b.fleetInfo.Max), float64(min(1, b.fleetInfo.Max-b.fleetInfo.Min))
@@ -1138,8 +1139,7 @@
 }
 
 // answer gives the final answer to a request that will not be served: Refuse only if a client retry is
-// known to be harmless, which for a keyed request holds as long as hosts drop duplicates; otherwise
-// Fail.
+// known to be harmless, which for a keyed request holds while hosts drop duplicates; otherwise Fail.
 func (b *Balancer) answer(r *request) {
 	first, keyed := r.first(), r.class.Effect == Keyed && r.class.Group == GroupAll
 	if first == nil || r.class.Effect == Safe ||
--- a/coldhost.go
+++ b/coldhost.go
@@ -53,10 +53,10 @@
 // coldRate returns the share of this instance of the budget of a cold host, in sends per second. The rate
 // that a warm host serves for the fleet is within the capacity of a host, reduced if the kind of the host
 // is slower; if nothing is known of warm hosts, one request per shortest aim is assumed, or the aim could
-// not be met. The number of sends within an overload window (Settings.Fall) varies at random, and so does
-// their work: the mean stays coldBudgetSigmas standard deviations below the budget. For a number of
-// requests of exponential work, the deviation is the square root of twice the mean, or of the mean alone
-// if one instance spaces them evenly.
+// not be met. The number of sends within an overload window (Settings.OverloadWindow) varies at random,
+// and so does their work: the mean stays coldBudgetSigmas standard deviations below the budget. For a number
+// of requests of exponential work, the deviation is the square root of twice the mean, or of the mean
+// alone if one instance spaces them evenly.
 func (b *Balancer) coldRate(h *host, age Time) float64 {
 	fleet, fall := max(1, h.sharers)*max(1, b.siblings), b.set.OverloadWindow.Seconds()
 	share := b.set.ColdFrom + (1-b.set.ColdFrom)*float64(age)/float64(b.set.WarmAfter)
