--- a/internal/learning/learning.go
+++ b/internal/learning/learning.go
@@ -59,7 +59,7 @@
 // Errors that Decode returns, among others.
 var (
 	ErrNone   = errors.New("nothing was learned")
-	ErrFuture = errors.New("it is dated in the future: the clock was set back")
+	ErrFuture = errors.New("it is of a time to come: the clock was set back")
 	ErrOld    = fmt.Errorf("it is older than %v", MaxAge)
 )
 
@@ -71,7 +71,7 @@
 			continue
 		}
 		if p.Version != version {
-			return nil, 0, fmt.Errorf("it is of version %d, but only version %d is supported", p.Version, version)
+			return nil, 0, fmt.Errorf("it is of version %d, and %d is read", p.Version, version)
 		}
 		var k kept
 		if err := json.Unmarshal(p.Data, &k); err != nil {
