--- a/internal/emulator/port.go
+++ b/internal/emulator/port.go
@@ -94,7 +94,7 @@
 	h := p.w.byID[p.n][id]
 	s := p.seen[h.Name]
 	if answered {
-		s.Good = p.w.now
+		s.LastAnswer = p.w.now
 	} else {
 		s.Bad = p.w.now
 	}
--- a/internal/membership/belief/belief_test.go
+++ b/internal/membership/belief/belief_test.go
@@ -100,7 +100,7 @@
 				s = Seen{-1, -1}
 			}
 			if w.up[n] {
-				s.Good = w.now
+				s.LastAnswer = w.now
 			} else {
 				s.Bad = w.now
 			}
