--- a/internal/emulator/port.go
+++ b/internal/emulator/port.go
@@ -96,7 +96,7 @@
 	if answered {
 		s.LastAnswer = p.w.now
 	} else {
-		s.Bad = p.w.now
+		s.LastConnectFailure = p.w.now
 	}
 	p.seen[h.Name] = s
 }
--- a/internal/membership/belief/belief.go
+++ b/internal/membership/belief/belief.go
@@ -80,7 +80,7 @@
 
 // Seen is what sockets tell of a host: when it last answered anything, and when a
 // connection to it last failed. Negative: never.
-type Seen struct{ LastAnswer, Bad time.Duration }
+type Seen struct{ LastAnswer, LastConnectFailure time.Duration }
 
 // Doubt is a host that is not treated as the list says.
 type Doubt struct {
@@ -218,7 +218,7 @@
 
 // vouch decides whether a listed host is sure, and whether it is left out for flapping.
 func (b *Belief) vouch(h *host, now time.Duration, s Seen) {
-	if s.Bad > s.LastAnswer && s.Bad > h.since {
+	if s.LastConnectFailure > s.LastAnswer && s.LastConnectFailure > h.since {
 		h.sure = false
 	} else if b.plausible++; s.LastAnswer > h.since || now-h.since >= b.cfg.Settle {
 		h.sure = true
@@ -257,7 +257,7 @@
 	h.used = h.Status == membership.Active && !h.damped
 	if !h.listed && h.used {
 		s := seen(h.Name)
-		if h.used = b.short && !b.lost(h, now) && !(s.Bad > s.LastAnswer); h.used {
+		if h.used = b.short && !b.lost(h, now) && !(s.LastConnectFailure > s.LastAnswer); h.used {
 			b.kept++
 		} else {
 			h.Status = membership.Left // it is given up, whatever goes missing later
--- a/internal/membership/belief/belief_test.go
+++ b/internal/membership/belief/belief_test.go
@@ -102,7 +102,7 @@
 			if w.up[n] {
 				s.LastAnswer = w.now
 			} else {
-				s.Bad = w.now
+				s.LastConnectFailure = w.now
 			}
 			w.seen[n] = s
 		}
--- a/internal/membership/keeper/keeper.go
+++ b/internal/membership/keeper/keeper.go
@@ -209,7 +209,7 @@
 	}
 	if k.part != nil {
 		wide := k.part.wide
-		l := k.part.take(k.now(), changes, func(name string) bool { s := k.lookup(name); return s.Bad > s.LastAnswer })
+		l := k.part.take(k.now(), changes, func(name string) bool { s := k.lookup(name); return s.LastConnectFailure > s.LastAnswer })
 		if k.part.wide != wide {
 			k.cfg.Log.Warn("most hosts of this gateway's part can't be reached, or could not: its width has changed", "times", k.part.wide)
 		}
@@ -276,7 +276,7 @@
 	s := k.seen[membership.HostID(name)]
 	k.seenMu.RUnlock()
 	if s == nil {
-		return belief.Seen{LastAnswer: -1, Bad: -1}
+		return belief.Seen{LastAnswer: -1, LastConnectFailure: -1}
 	}
-	return belief.Seen{LastAnswer: time.Duration(s.good.Load()), Bad: time.Duration(s.bad.Load())}
+	return belief.Seen{LastAnswer: time.Duration(s.good.Load()), LastConnectFailure: time.Duration(s.bad.Load())}
 }
