--- a/internal/membership/belief/belief_test.go
+++ b/internal/membership/belief/belief_test.go
@@ -12,20 +12,21 @@
 	"pgregory.net/rapid"
 )
 
-// world is a belief with hosts that are there or not, and what is listed.
-type world struct {
+// fixture is a Belief with simulated hosts that answer or not, and the current host list.
+type fixture struct {
 	b      *Belief
 	now    time.Duration
 	up     map[string]bool // hosts that answer
 	seen   map[string]Seen
 	listed map[string]membership.Endpoint
-	goes   map[string]membership.Endpoint // by what was handed out
+	inUse  map[string]membership.Endpoint // active and leaving hosts, as Decide returned them
 }
 
-func newWorld(cfg Config) *world {
-	return &world{b: New(cfg), up: map[string]bool{}, seen: map[string]Seen{}, listed: map[string]membership.Endpoint{}, goes: map[string]membership.Endpoint{}}
+func newFixture(cfg Config) *fixture {
+	return &fixture{b: New(cfg), up: map[string]bool{}, seen: map[string]Seen{}, listed: map[string]membership.Endpoint{}, inUse: map[string]membership.Endpoint{}}
 }
 
+// names returns the host names with the numbers from <= i < to.
 func names(from, to int) (list []string) {
 	for i := from; i < to; i++ {
 		list = append(list, fmt.Sprintf("h%03d", i))
@@ -33,302 +34,311 @@
 	return list
 }
 
-func (w *world) start(hosts []string) {
+// markUp lets hosts answer.
+func (f *fixture) markUp(hosts []string) {
 	for _, n := range hosts {
-		w.up[n] = true
+		f.up[n] = true
 	}
 }
 
-// list takes a whole list of active hosts.
-func (w *world) list(hosts ...string) {
+// setList replaces the whole list by the given active hosts.
+func (f *fixture) setList(hosts ...string) {
 	next := map[string]membership.Endpoint{}
 	for _, n := range hosts {
 		next[n] = membership.Endpoint{Name: n, Address: "at " + n, Status: membership.Active}
 	}
-	for n := range w.listed {
+	for n := range f.listed {
 		if _, ok := next[n]; !ok {
-			w.b.Dropped(w.now, n, false)
+			f.b.Dropped(f.now, n, false)
 		}
 	}
 	for n, e := range next {
-		if w.listed[n] != e {
-			w.b.Listed(w.now, e)
+		if f.listed[n] != e {
+			f.b.Listed(f.now, e)
 		}
 	}
-	w.listed = next
-	w.decide()
+	f.listed = next
+	f.decide()
 }
 
-// say is an explicit word of a host.
-func (w *world) say(name, status string) {
+// announce reports an explicit status of one host.
+func (f *fixture) announce(name, status string) {
 	e := membership.Endpoint{Name: name, Address: "at " + name, Status: status}
 	if status == membership.Left {
-		delete(w.listed, name)
-		w.b.Dropped(w.now, name, true)
+		delete(f.listed, name)
+		f.b.Dropped(f.now, name, true)
 	} else {
-		w.listed[name] = e
-		w.b.Listed(w.now, e)
+		f.listed[name] = e
+		f.b.Listed(f.now, e)
 	}
-	w.decide()
+	f.decide()
 }
 
-func (w *world) decide() {
-	for _, e := range w.b.Decide(w.now, func(n string) Seen {
-		if s, ok := w.seen[n]; ok {
+// decide runs Decide and applies the changes to inUse.
+func (f *fixture) decide() {
+	for _, e := range f.b.Decide(f.now, func(n string) Seen {
+		if s, ok := f.seen[n]; ok {
 			return s
 		}
 		return Seen{-1, -1}
 	}) {
 		if e.Status == membership.Left {
-			delete(w.goes, e.Name)
+			delete(f.inUse, e.Name)
 		} else {
-			w.goes[e.Name] = e
+			f.inUse[e.Name] = e
 		}
 	}
 }
 
-// traffic asks every host that is gone by, and then looks again, for so long.
-func (w *world) traffic(d time.Duration) {
-	for end := w.now + d; w.now < end; {
-		w.now += 100 * time.Millisecond
-		for n, e := range w.goes {
+// traffic sends a request to every active host in use and then calls decide, every 100 ms for the
+// duration d.
+func (f *fixture) traffic(d time.Duration) {
+	for end := f.now + d; f.now < end; {
+		f.now += 100 * time.Millisecond
+		for n, e := range f.inUse {
 			if e.Status != membership.Active {
 				continue
 			}
-			s, ok := w.seen[n]
+			s, ok := f.seen[n]
 			if !ok {
 				s = Seen{-1, -1}
 			}
-			if w.up[n] {
-				s.LastAnswer = w.now
+			if f.up[n] {
+				s.LastAnswer = f.now
 			} else {
-				s.LastConnectFailure = w.now
+				s.LastConnectFailure = f.now
 			}
-			w.seen[n] = s
+			f.seen[n] = s
 		}
-		w.decide()
+		f.decide()
 	}
 }
 
-// used are the hosts that may be sent to.
-func (w *world) used() (list []string) {
-	for _, n := range slices.Sorted(maps.Keys(w.goes)) {
-		if w.goes[n].Status == membership.Active {
+// used returns the hosts that may receive requests, sorted by name.
+func (f *fixture) used() (list []string) {
+	for _, n := range slices.Sorted(maps.Keys(f.inUse)) {
+		if f.inUse[n].Status == membership.Active {
 			list = append(list, n)
 		}
 	}
 	return list
 }
 
-func (w *world) want(t *testing.T, what string, want []string) {
+// checkUsed fails the test if the used hosts differ from want.
+func (f *fixture) checkUsed(t *testing.T, step string, want []string) {
 	t.Helper()
-	if got := w.used(); !slices.Equal(got, want) {
-		t.Errorf("%s: goes by %v, want %v", what, got, want)
+	if got := f.used(); !slices.Equal(got, want) {
+		t.Errorf("%s: uses %v, want %v", step, got, want)
 	}
 }
 
+// A list that drops working hosts must not take them out of use at once, but is followed if it
+// stays the same for longer than Keep.
 func TestListsThatLie(t *testing.T) {
 	all := names(0, 10)
 	for _, c := range []struct {
-		name string
-		lie  []string
+		name      string
+		wrongList []string
 	}{{"half", all[:5]}, {"empty", nil}, {"other hosts that none can reach", names(50, 60)}, {"yesterday's", append(names(70, 75), all[:3]...)}} {
 		t.Run(c.name, func(t *testing.T) {
-			w := newWorld(Config{})
-			w.start(all)
-			w.list(all...)
-			w.traffic(time.Second)
-			w.list(c.lie...)
-			w.traffic(5 * time.Second)
+			f := newFixture(Config{})
+			f.markUp(all)
+			f.setList(all...)
+			f.traffic(time.Second)
+			f.setList(c.wrongList...)
+			f.traffic(5 * time.Second)
 			for _, n := range all {
-				if !slices.Contains(w.used(), n) {
-					t.Fatalf("%s works and is not used; used are %v", n, w.used())
+				if !slices.Contains(f.used(), n) {
+					t.Fatalf("%s works and is not used; used are %v", n, f.used())
 				}
 			}
-			if len(w.b.Doubts(w.now)) == 0 {
+			if len(f.b.Doubts(f.now)) == 0 {
 				t.Error("nothing is doubted")
 			}
-			w.list(all...)
-			w.traffic(time.Second)
-			w.want(t, "once the list is right", all)
-			w.list(c.lie...)
-			w.traffic(time.Second)
-			w.traffic(6 * time.Minute)
-			w.want(t, "a list that stays so is followed in the end", slices.Sorted(slices.Values(c.lie)))
-			w.traffic(time.Hour)
-			if n := len(w.b.hosts); n != len(c.lie) {
-				t.Errorf("%d hosts are kept in mind", n)
+			f.setList(all...)
+			f.traffic(time.Second)
+			f.checkUsed(t, "once the list is correct again", all)
+			f.setList(c.wrongList...)
+			f.traffic(time.Second)
+			f.traffic(6 * time.Minute)
+			f.checkUsed(t, "a list that stays unchanged is followed in the end", slices.Sorted(slices.Values(c.wrongList)))
+			f.traffic(time.Hour)
+			if n := len(f.b.hosts); n != len(c.wrongList) {
+				t.Errorf("%d hosts are still tracked", n)
 			}
 		})
 	}
 }
 
-// What is announced, or gone on sockets as well, is followed at once.
+// A loss that is announced, or confirmed by failed connections, is followed at once.
 func TestTrueLossIsFollowed(t *testing.T) {
 	all := names(0, 10)
-	w := newWorld(Config{})
-	w.start(all)
-	w.list(all...)
-	w.traffic(time.Second)
+	f := newFixture(Config{})
+	f.markUp(all)
+	f.setList(all...)
+	f.traffic(time.Second)
 	for _, n := range all[:8] {
-		w.say(n, membership.Leaving)
-		if slices.Contains(w.used(), n) {
+		f.announce(n, membership.Leaving)
+		if slices.Contains(f.used(), n) {
 			t.Errorf("%s leaves and is used", n)
 		}
 	}
-	w.say(all[0], membership.Left)
-	w.say(all[8], membership.Left)
-	w.want(t, "after eight have been told to leave", all[9:])
-	w.list(all[9]) // those that leave stand in no list any more
-	w.want(t, "and are gone", all[9:])
+	f.announce(all[0], membership.Left)
+	f.announce(all[8], membership.Left)
+	f.checkUsed(t, "after nine were announced as leaving or left", all[9:])
+	f.setList(all[9]) // hosts that are leaving are no longer listed
+	f.checkUsed(t, "after the leaving hosts were dropped", all[9:])
 
-	w = newWorld(Config{})
-	w.start(all)
-	w.list(all...)
-	w.traffic(time.Second)
+	f = newFixture(Config{})
+	f.markUp(all)
+	f.setList(all...)
+	f.traffic(time.Second)
 	for _, n := range all[2:] {
-		w.up[n] = false
+		f.up[n] = false
 	}
-	w.list(all[:2]...)
-	w.traffic(200 * time.Millisecond)
-	w.want(t, "eight went down with the list", all[:2])
+	f.setList(all[:2]...)
+	f.traffic(200 * time.Millisecond)
+	f.checkUsed(t, "eight hosts failed and were dropped from the list", all[:2])
 
-	w.list(all[0]) // a small loss needs no doubt
-	w.start(all)
-	w = newWorld(Config{})
-	w.start(all)
-	w.list(all...)
-	w.traffic(time.Second)
-	w.list(all[:9]...)
-	w.want(t, "one of ten", all[:9])
+	f.setList(all[0]) // a small loss is not doubted
+	f.markUp(all)
+	f = newFixture(Config{})
+	f.markUp(all)
+	f.setList(all...)
+	f.traffic(time.Second)
+	f.setList(all[:9]...)
+	f.checkUsed(t, "one of ten", all[:9])
 }
 
-// A rolling replacement in a minute, and one of all at once: never fewer hosts that work
-// than the floor, and the old ones are given up as the new ones answer.
+// Hosts are replaced one by one within a minute, and all at once. The number of used hosts never
+// drops below the original count, and the original hosts are given up as the new ones answer.
 func TestReplacement(t *testing.T) {
-	old, fresh := names(0, 20), names(100, 120)
-	w := newWorld(Config{})
-	w.start(old)
-	w.list(old...)
-	w.traffic(time.Second)
-	for i := range old {
-		w.start(fresh[:i+1])
-		w.list(append(slices.Clone(old[i+1:]), fresh[:i+1]...)...)
-		w.traffic(3 * time.Second)
-		if n := len(w.used()); n < 20 || n > 21 {
+	original, replacements := names(0, 20), names(100, 120)
+	f := newFixture(Config{})
+	f.markUp(original)
+	f.setList(original...)
+	f.traffic(time.Second)
+	for i := range original {
+		f.markUp(replacements[:i+1])
+		f.setList(append(slices.Clone(original[i+1:]), replacements[:i+1]...)...)
+		f.traffic(3 * time.Second)
+		if n := len(f.used()); n < 20 || n > 21 {
 			t.Errorf("after %d: %d hosts are used", i+1, n)
 		}
-		w.up[old[i]] = false
+		f.up[original[i]] = false
 	}
-	w.want(t, "all are new", fresh)
+	f.checkUsed(t, "all hosts are replaced", replacements)
 
-	w = newWorld(Config{})
-	w.start(append(slices.Clone(old), fresh...))
-	w.list(old...)
-	w.traffic(time.Second)
-	w.list(fresh...)
-	if n := len(w.used()); n != 40 {
-		t.Errorf("at once, before any has answered: %d are used", n)
+	f = newFixture(Config{})
+	f.markUp(append(slices.Clone(original), replacements...))
+	f.setList(original...)
+	f.traffic(time.Second)
+	f.setList(replacements...)
+	if n := len(f.used()); n != 40 {
+		t.Errorf("all at once, before any new host has answered: %d hosts are used", n)
 	}
-	w.traffic(200 * time.Millisecond)
-	w.want(t, "once they have", fresh)
+	f.traffic(200 * time.Millisecond)
+	f.checkUsed(t, "once the new hosts have answered", replacements)
 }
 
-// A pool that nobody uses: nothing is seen on sockets, and time alone vouches.
+// In a pool without traffic there are no connection results, so hosts are vouched for by Settle
+// alone.
 func TestNobodyAsks(t *testing.T) {
 	all := names(0, 10)
-	w := newWorld(Config{})
-	w.list(all...)
-	w.now += 11 * time.Second
-	w.decide()
-	if w.b.Unsure() {
+	f := newFixture(Config{})
+	f.setList(all...)
+	f.now += 11 * time.Second
+	f.decide()
+	if f.b.Unsure() {
 		t.Error("unsure after the settling time")
 	}
-	w.list(all[:8]...)
-	w.want(t, "two of ten", all[:8])
-	w.list(all[:2]...)
-	w.want(t, "six more", all[:8])
-	w.now += 5 * time.Minute
-	w.decide()
-	w.want(t, "after the time", all[:2])
+	f.setList(all[:8]...)
+	f.checkUsed(t, "two of ten", all[:8])
+	f.setList(all[:2]...)
+	f.checkUsed(t, "six more", all[:8])
+	f.now += 5 * time.Minute
+	f.decide()
+	f.checkUsed(t, "after Keep", all[:2])
 }
 
-// However long nothing was looked at, what was listed until now is what a list loses.
+// After a long time without a Decide, the hosts that were listed until now still count towards the
+// floor.
 func TestLossAfterALongQuiet(t *testing.T) {
 	all := names(0, 10)
-	w := newWorld(Config{})
-	w.start(all)
-	w.list(all...)
-	w.traffic(20 * time.Second)
-	if w.b.Unsure() {
-		t.Fatal("something is to be looked at")
+	f := newFixture(Config{})
+	f.markUp(all)
+	f.setList(all...)
+	f.traffic(20 * time.Second)
+	if f.b.Unsure() {
+		t.Fatal("the belief is unsure after steady traffic")
 	}
-	w.now += time.Hour
-	w.list()
-	w.want(t, "an empty list after an hour", all)
-	w.traffic(4 * time.Minute)
-	w.want(t, "four minutes later", all)
+	f.now += time.Hour
+	f.setList()
+	f.checkUsed(t, "an empty list after an hour", all)
+	f.traffic(4 * time.Minute)
+	f.checkUsed(t, "four minutes later", all)
 }
 
 func TestFlappingIsDamped(t *testing.T) {
 	all := names(0, 10)
-	w := newWorld(Config{})
-	w.start(all)
-	w.list(all...)
-	w.traffic(time.Second)
+	f := newFixture(Config{})
+	f.markUp(all)
+	f.setList(all...)
+	f.traffic(time.Second)
 	for range 4 {
-		w.list(all[1:]...)
-		w.traffic(time.Second)
-		w.list(all...)
-		w.traffic(time.Second)
+		f.setList(all[1:]...)
+		f.traffic(time.Second)
+		f.setList(all...)
+		f.traffic(time.Second)
 	}
-	w.want(t, "after four returns", all[1:])
-	if d := w.b.Doubts(w.now); len(d) != 1 || !strings.Contains(d[0].Why, "flaps") {
+	f.checkUsed(t, "after four returns", all[1:])
+	if d := f.b.Doubts(f.now); len(d) != 1 || !strings.Contains(d[0].Why, "flaps") {
 		t.Errorf("doubts: %+v", d)
 	}
-	w.traffic(90 * time.Second)
-	w.want(t, "when it has been steady", all)
+	f.traffic(90 * time.Second)
+	f.checkUsed(t, "after the host has been steady", all)
 
-	// Two sources that take turns, one host each time in ten: never below the floor.
-	w = newWorld(Config{})
-	w.start(names(0, 20))
+	// Lists of two disjoint sets of ten hosts alternate: the used hosts never fall below the floor.
+	f = newFixture(Config{})
+	f.markUp(names(0, 20))
 	for i := range 40 {
 		if i%2 == 0 {
-			w.list(names(0, 10)...)
+			f.setList(names(0, 10)...)
 		} else {
-			w.list(names(10, 20)...)
+			f.setList(names(10, 20)...)
 		}
-		w.traffic(time.Second)
-		if n := len(w.used()); n < 7 {
+		f.traffic(time.Second)
+		if n := len(f.used()); n < 7 {
 			t.Fatalf("turn %d: %d hosts are used", i, n)
 		}
 	}
-	// One that leaves and comes back is damped as well, and never doubted while it leaves.
-	w = newWorld(Config{})
-	w.start(all)
-	w.list(all...)
+	// A host that is announced as leaving is never doubted, but is damped as well if it keeps
+	// returning.
+	f = newFixture(Config{})
+	f.markUp(all)
+	f.setList(all...)
 	for range 4 {
-		w.say(all[0], membership.Leaving)
-		w.traffic(time.Second)
-		w.say(all[0], membership.Active)
-		w.traffic(time.Second)
+		f.announce(all[0], membership.Leaving)
+		f.traffic(time.Second)
+		f.announce(all[0], membership.Active)
+		f.traffic(time.Second)
 	}
-	w.want(t, "after four returns from leaving", all[1:])
+	f.checkUsed(t, "after four returns from leaving", all[1:])
 }
 
-// An id that comes back at another address has been seen by nobody there.
+// A host whose address changes is not vouched for at the new address.
 func TestOtherAddress(t *testing.T) {
 	all := names(0, 2)
-	w := newWorld(Config{})
-	w.start(all)
-	w.list(all...)
-	w.traffic(20 * time.Second)
-	w.b.Listed(w.now, membership.Endpoint{Name: all[0], Address: "elsewhere", Status: membership.Active})
-	w.decide()
-	if w.goes[all[0]].Address != "elsewhere" {
-		t.Errorf("goes by %+v", w.goes[all[0]])
+	f := newFixture(Config{})
+	f.markUp(all)
+	f.setList(all...)
+	f.traffic(20 * time.Second)
+	f.b.Listed(f.now, membership.Endpoint{Name: all[0], Address: "elsewhere", Status: membership.Active})
+	f.decide()
+	if f.inUse[all[0]].Address != "elsewhere" {
+		t.Errorf("uses %+v", f.inUse[all[0]])
 	}
-	if d := w.b.Doubts(w.now); len(d) != 1 || !strings.Contains(d[0].Why, "vouched") {
+	if d := f.b.Doubts(f.now); len(d) != 1 || !strings.Contains(d[0].Why, "vouched") {
 		t.Errorf("doubts: %+v", d)
 	}
 }
@@ -345,18 +355,17 @@
 	}
 }
 
-// Whatever lists say and hosts do: one that is named as leaving or left is not used; one
-// that is listed, steady and works is; one that is missing and can't be reached is not
-// after the next look, nor any that has been missing for Keep; and what is handed out
-// adds up to what is used.
+// For any sequence of lists, announcements and host failures: a host announced as leaving or left
+// is not used; a listed host that returned fewer than three times is used; no host is used once it
+// has been missing for Keep; and Believed equals the number of hosts in use as returned by Decide.
 func TestBeliefProperties(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		w := newWorld(Config{})
+		f := newFixture(Config{})
 		all := names(0, 8)
-		w.start(all)
-		word := map[string]bool{}
-		returns := map[string]int{}
-		missing := map[string]time.Duration{}
+		f.markUp(all)
+		announced := map[string]bool{}
+		returnCount := map[string]int{}
+		missingSince := map[string]time.Duration{}
 		for range rapid.IntRange(1, 30).Draw(rt, "steps") {
 			switch rapid.IntRange(0, 4).Draw(rt, "step") {
 			case 0, 1:
@@ -367,46 +376,46 @@
 					}
 				}
 				for _, n := range all {
-					_, was := w.listed[n]
+					_, was := f.listed[n]
 					switch is := slices.Contains(in, n); {
-					case is && (!was || word[n]):
-						returns[n]++
-						delete(missing, n)
-						delete(word, n)
+					case is && (!was || announced[n]):
+						returnCount[n]++
+						delete(missingSince, n)
+						delete(announced, n)
 					case !is && was:
-						missing[n] = w.now
+						missingSince[n] = f.now
 					}
 				}
-				w.list(in...)
+				f.setList(in...)
 			case 2:
 				n := rapid.SampledFrom(all).Draw(rt, "word of")
 				status := rapid.SampledFrom([]string{membership.Leaving, membership.Left}).Draw(rt, "word")
-				if _, listed := w.listed[n]; listed || status == membership.Left {
-					word[n] = true
-					w.say(n, status)
+				if _, listed := f.listed[n]; listed || status == membership.Left {
+					announced[n] = true
+					f.announce(n, status)
 				}
 			case 3:
 				n := rapid.SampledFrom(all).Draw(rt, "turns")
-				w.up[n] = !w.up[n]
+				f.up[n] = !f.up[n]
 			case 4:
-				w.traffic(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 20 * time.Second, 6 * time.Minute}).Draw(rt, "time"))
+				f.traffic(rapid.SampledFrom([]time.Duration{100 * time.Millisecond, 20 * time.Second, 6 * time.Minute}).Draw(rt, "time"))
 			}
-			used := w.used()
+			used := f.used()
 			for _, n := range all {
 				is := slices.Contains(used, n)
-				_, listed := w.listed[n]
-				at, gone := missing[n]
+				_, listed := f.listed[n]
+				at, gone := missingSince[n]
 				switch {
-				case word[n] && is:
-					rt.Fatalf("%s is used after an explicit word", n)
-				case listed && !word[n] && !is && returns[n] < 3:
+				case announced[n] && is:
+					rt.Fatalf("%s is used although it was announced as leaving or left", n)
+				case listed && !announced[n] && !is && returnCount[n] < 3:
 					rt.Fatalf("%s is listed and not used", n)
-				case gone && !listed && is && w.now-at >= 5*time.Minute+200*time.Millisecond:
-					rt.Fatalf("%s is used %v after it went missing", n, w.now-at)
+				case gone && !listed && is && f.now-at >= 5*time.Minute+200*time.Millisecond:
+					rt.Fatalf("%s is used %v after it went missing", n, f.now-at)
 				}
 			}
-			if w.b.Believed() != len(used) {
-				rt.Fatalf("%d are believed, %d were handed out", w.b.Believed(), len(used))
+			if f.b.Believed() != len(used) {
+				rt.Fatalf("Believed is %d, but %d hosts are in use as returned", f.b.Believed(), len(used))
 			}
 		}
 	})
