--- a/internal/membership/subset/subset.go
+++ b/internal/membership/subset/subset.go
@@ -231,8 +231,8 @@
 }
 
 const (
-	maxWidth     = 4
-	widenAfter = time.Second // minimum time between two steps up
+	maxWidth    = 4
+	widenAfter  = time.Second // minimum time between two steps up
 	narrowAfter = time.Minute // time with few broken hosts before a step down
 )
 
