--- a/internal/membership/keeper/state.go
+++ b/internal/membership/keeper/state.go
@@ -41,7 +41,7 @@
 func (k *Keeper) state() State {
 	s := State{At: time.Now(), Version: k.merger.Version(), Believed: k.belief.Believed(), Entries: k.merger.All(), Doubts: k.belief.Doubts(k.now())}
 	for i := range k.cfg.Specs {
-		s.Sources = append(s.Sources, SourceState{k.name(i), k.merger.Spoken(i)})
+		s.Sources = append(s.Sources, SourceState{k.name(i), k.merger.Reported(i)})
 	}
 	return s
 }
--- a/internal/membership/view/view.go
+++ b/internal/membership/view/view.go
@@ -93,8 +93,8 @@
 // Skipped is how many messages of source i came with a version before one already known.
 func (m *Merger) Skipped(i int) int { return m.sources[i].skipped }
 
-// Spoken says whether source i has said anything.
-func (m *Merger) Spoken(i int) bool { return m.sources[i].spoken }
+// Reported says whether source i has said anything.
+func (m *Merger) Reported(i int) bool { return m.sources[i].spoken }
 
 // Get is the entry of a host.
 func (m *Merger) Get(name string) (Entry, bool) {
