--- a/internal/membership/view/view.go
+++ b/internal/membership/view/view.go
@@ -1,21 +1,22 @@
-// Package view merges what several sources say of one pool's hosts into one list. It
-// decides which source counts for which host; it does no I/O, reads no clock and does not
-// judge whether a list is to be believed.
+// Package view merges the reports of several sources about the hosts of one pool into one list.
+// It decides which source counts for which host. It performs no I/O, reads no clock and does not
+// judge whether a list is plausible.
 //
 // The rules, in this order:
 //
-//   - A host that any source names as leaving or as having left is so, until that source
-//     names it otherwise: an explicit word is never doubted. One list from before it
-//     (an older version, the list of a cache) does not undo it.
-//   - Of several sources that list a host as active, the one of the highest precedence says
-//     where it is.
-//   - Of several active hosts with one address, one counts: that of the source of the highest
-//     precedence, then the one that started last, then the first by name.
-//   - Sources may have different names for one host. Where one source names a host as leaving
-//     and has no active one at its address, nobody else's counts there either.
+//   - A host that any source reports as leaving or left has that status until the same source
+//     reports it otherwise: an explicit departure is never doubted. A single older list (of an
+//     older version, or from a cache) does not undo it.
+//   - If several sources list a host as active, the source with the highest precedence determines
+//     its address.
+//   - If several active hosts have the same address, one of them counts: that of the source with
+//     the highest precedence, then the one that started last, then the first by name.
+//   - Sources may use different names for one host. If one source reports a host as leaving and
+//     has no active host at its address, the active hosts of the other sources do not count there
+//     either.
 //
-// What a source says is replaced by its next whole list and amended by its changes. So the
-// view depends on what each source has said, and not on which of them spoke first.
+// The state of a source is replaced by its next snapshot and amended by its changes. So the view
+// depends on what each source has reported, and not on the order in which the sources reported.
 package view
 
 import (
@@ -28,81 +29,82 @@
 )
 
 const (
-	// guardFor is how long an explicit word outlasts lists of older versions: a source that
-	// counts anew from 1 is heeded in full after that.
-	guardFor = time.Minute
-	// mostWords bounds the hosts of a source that have left without being listed since.
-	mostWords = 1 << 16
+	// departureGuard is how long a departure outlasts lists of older versions. After that, a
+	// source that has restarted its versions from 1 is trusted in full.
+	departureGuard = time.Minute
+	// maxDepartures bounds the departures kept per source, for hosts that are never listed again.
+	maxDepartures = 1 << 16
 )
 
 // Entry is a host of the merged view.
 type Entry struct {
 	membership.Endpoint
-	Source int    // number of the source that counts
-	Others []int  // other sources that list the host
-	Hidden string // not empty: another host counts for its address, or one leaves there
+	Source int    // index of the source that determines the status
+	Others []int  // indexes of the other sources that list the host
+	Hidden string // name of the host that counts for the address instead, or is leaving there; empty if none
 }
 
-// Merger keeps what each source has said. It is not safe for concurrent use.
+// Merger keeps the reported state of each source. It is not safe for concurrent use.
 type Merger struct {
-	sources []said
+	sources []sourceState
 	merged  map[string]Entry
-	claims  map[string]map[string]bool // address: names that are active or leaving there
+	claims  map[string]map[string]bool // names of the hosts that are active or leaving, by address
 	version uint64
 }
 
-// said is what one source has said.
-type said struct {
-	index   uint64
-	spoken  bool
-	hosts   map[string]membership.Endpoint
-	words   map[string]word // explicit words that an older list would undo
-	skipped int             // messages that were older than what is known
-	forgot  []string        // hosts whose words went by other means than a list, until the next one
+// sourceState is the reported state of one source.
+type sourceState struct {
+	index      uint64
+	reported   bool
+	hosts      map[string]membership.Endpoint
+	departures map[string]departure // hosts reported as leaving or left, which an older list would undo
+	skipped    int                  // number of messages older than the known version
+	discarded  []string             // hosts whose departures were dropped other than by a message; merged again with the next one
 }
 
-type word struct {
+type departure struct {
 	entry membership.Endpoint
 	index uint64
-	until time.Duration // 0: a newer list has not been contradicted yet
+	until time.Duration // when the departure expires; 0 means that no older list has contradicted it
 }
 
-// New returns a merger of so many sources, the first of the highest precedence.
+// New returns a merger of the given number of sources. Source 0 has the highest precedence.
 func New(sources int) *Merger {
-	m := &Merger{sources: make([]said, sources), merged: map[string]Entry{}, claims: map[string]map[string]bool{}}
+	m := &Merger{sources: make([]sourceState, sources), merged: map[string]Entry{}, claims: map[string]map[string]bool{}}
 	for i := range m.sources {
 		m.Forget(i)
 	}
 	return m
 }
 
-// Forget begins source i anew, as when it has moved to another place: versions of one place
-// say nothing at another. What it had said stands until its next list.
+// Forget resets the version and the departures of source i, for example when its location has
+// changed: versions of different locations cannot be compared. The merged view keeps what the
+// source reported until its next message.
 func (m *Merger) Forget(i int) {
 	s := &m.sources[i]
-	s.forgot = slices.AppendSeq(s.forgot, maps.Keys(s.words))
-	s.index, s.spoken, s.words = 0, false, map[string]word{}
+	s.discarded = slices.AppendSeq(s.discarded, maps.Keys(s.departures))
+	s.index, s.reported, s.departures = 0, false, map[string]departure{}
 	if s.hosts == nil {
 		s.hosts = map[string]membership.Endpoint{}
 	}
 }
 
-// Version counts the changes of the view.
+// Version returns the number of calls that have changed the view.
 func (m *Merger) Version() uint64 { return m.version }
 
-// Skipped is how many messages of source i came with a version before one already known.
+// Skipped returns how many messages of source i had a version older than the known one.
 func (m *Merger) Skipped(i int) int { return m.sources[i].skipped }
 
 // Reported says whether source i has said anything.
-func (m *Merger) Reported(i int) bool { return m.sources[i].spoken }
+func (m *Merger) Reported(i int) bool { return m.sources[i].reported }
 
-// Get is the entry of a host.
+// Get returns the entry of a host, and whether there is one.
 func (m *Merger) Get(name string) (Entry, bool) {
 	e, ok := m.merged[name]
 	return e, ok
 }
 
-// All are the entries by name.
+// All returns the entries, sorted by name.
 func (m *Merger) All() []Entry {
 	list := make([]Entry, 0, len(m.merged))
 	for _, name := range slices.Sorted(maps.Keys(m.merged)) {
@@ -111,24 +113,25 @@
 	return list
 }
 
-// Take takes a checked message of source i and returns the names whose entry has changed.
+// Take applies a validated message of source i and returns the names of the hosts whose entry has
+// changed. The caller passes the time.
 func (m *Merger) Take(now time.Duration, i int, l *membership.List) (changed []string) {
 	s := &m.sources[i]
-	older := s.spoken && *l.Index < s.index
+	older := s.reported && *l.Index < s.index
 	if older {
 		s.skipped++
 	}
 	touched := map[string]bool{}
-	for _, name := range s.forgot {
+	for _, name := range s.discarded {
 		touched[name] = true
 	}
-	s.forgot = nil
+	s.discarded = nil
 	last := make(map[string]membership.Endpoint, len(l.Endpoints))
-	for _, e := range l.Endpoints { // the later entry counts
+	for _, e := range l.Endpoints { // of several entries for a name, the last one counts
 		last[e.Name] = e
 	}
 	for name, e := range last {
-		if m.takeEntry(now, s, e, *l.Index, older, l.Snapshot) {
+		if m.applyEntry(now, s, e, *l.Index, older, l.Snapshot) {
 			touched[name] = true
 		}
 	}
@@ -139,9 +142,9 @@
 				touched[name] = true
 			}
 		}
-		for name := range s.words {
+		for name := range s.departures {
 			if _, listed := last[name]; !listed && !older {
-				delete(s.words, name) // gone from the list as announced
+				delete(s.departures, name) // no longer listed, as announced
 				touched[name] = true
 			}
 		}
@@ -149,75 +152,77 @@
 	if l.Snapshot || !older {
 		s.index = *l.Index
 	}
-	s.spoken = true
-	return m.settle(touched)
+	s.reported = true
+	return m.remerge(touched)
 }
 
-// takeEntry takes one entry of a source and says whether it has changed anything there.
-func (m *Merger) takeEntry(now time.Duration, s *said, e membership.Endpoint, index uint64, older, whole bool) bool {
+// applyEntry applies one entry of a source and returns whether the host has to be merged again.
+func (m *Merger) applyEntry(now time.Duration, s *sourceState, e membership.Endpoint, index uint64, older, snapshot bool) bool {
 	old, had := s.hosts[e.Name]
-	w, warned := s.words[e.Name]
+	w, departing := s.departures[e.Name]
 	switch {
-	case e.Status != membership.Active: // an explicit word, however old
-		if w.until == 0 && warned && w.entry == e && had == (e.Status == membership.Leaving) {
+	case e.Status != membership.Active: // an explicit departure counts at any version
+		if w.until == 0 && departing && w.entry == e && had == (e.Status == membership.Leaving) {
 			return false
 		}
-		if !warned && len(s.words) >= mostWords {
-			for name := range s.words { // bounded; which one goes hardly matters
-				delete(s.words, name)
-				s.forgot = append(s.forgot, name)
+		if !departing && len(s.departures) >= maxDepartures {
+			for name := range s.departures { // bounded; which one is dropped hardly matters
+				delete(s.departures, name)
+				s.discarded = append(s.discarded, name)
 				break
 			}
 		}
-		s.words[e.Name] = word{entry: e, index: max(index, w.index)}
+		s.departures[e.Name] = departure{entry: e, index: max(index, w.index)}
 		if e.Status == membership.Left {
 			delete(s.hosts, e.Name)
 		} else {
 			s.hosts[e.Name] = e
 		}
 		return true
-	case older && warned && index < w.index: // it was active before it was said to leave
+	case older && departing && index < w.index: // it was active before its departure was reported
 		if w.until == 0 {
-			w.until = now + guardFor
-			s.words[e.Name] = w
+			w.until = now + departureGuard
+			s.departures[e.Name] = w
 		}
 		if now < w.until {
-			if whole {
+			if snapshot {
 				s.hosts[e.Name] = e
 			}
 			return true
 		}
-	case older && !whole: // a change from before what is known
+	case older && !snapshot: // a change older than the known version
 		return false
 	}
-	delete(s.words, e.Name)
+	delete(s.departures, e.Name)
 	s.hosts[e.Name] = e
-	return !had || old != e || warned
+	return !had || old != e || departing
 }
 
-// Tick lets words that only older lists contradict expire, and returns what changed by it.
+// Tick drops expired departures, which only older lists have contradicted, and returns the names of
+// the hosts whose entry has changed.
 func (m *Merger) Tick(now time.Duration) (changed []string) {
 	touched := map[string]bool{}
 	for i := range m.sources {
-		for name, w := range m.sources[i].words {
+		for name, w := range m.sources[i].departures {
 			if w.until > 0 && now >= w.until {
-				delete(m.sources[i].words, name)
+				delete(m.sources[i].departures, name)
 				touched[name] = true
 			}
 		}
 	}
-	return m.settle(touched)
+	return m.remerge(touched)
 }
 
-// settle merges the touched names anew, and those that share an address with them.
-func (m *Merger) settle(touched map[string]bool) (changed []string) {
+// remerge merges the touched hosts again, updates the hosts that share an address with them, and
+// returns the names of those whose entry has changed, sorted.
+func (m *Merger) remerge(touched map[string]bool) (changed []string) {
 	before := make(map[string]Entry, len(touched))
-	known := map[string]bool{}
+	existed := map[string]bool{}
 	addresses := map[string]bool{}
 	note := func(name string) {
 		if _, done := before[name]; !done {
 			e, had := m.merged[name]
-			before[name], known[name] = e, had
+			before[name], existed[name] = e, had
 		}
 	}
 	for name := range touched {
@@ -245,7 +250,7 @@
 		}
 	}
 	for a := range addresses {
-		best := m.claimant(a)
+		best := m.winner(a)
 		for name := range m.claims[a] {
 			note(name)
 			e := m.merged[name]
@@ -253,14 +258,14 @@
 			if e.Status == membership.Active && name != best {
 				e.Hidden = best
 			} else if e.Status == membership.Active {
-				e.Hidden = m.leaves(a, e.Source)
+				e.Hidden = m.leavingHost(a, e.Source)
 			}
 			m.merged[name] = e
 		}
 	}
 	for name, old := range before {
 		e, has := m.merged[name]
-		if has != known[name] || e.Endpoint != old.Endpoint || e.Source != old.Source || e.Hidden != old.Hidden || !slices.Equal(e.Others, old.Others) {
+		if has != existed[name] || e.Endpoint != old.Endpoint || e.Source != old.Source || e.Hidden != old.Hidden || !slices.Equal(e.Others, old.Others) {
 			changed = append(changed, name)
 		}
 	}
@@ -271,10 +276,10 @@
 	return changed
 }
 
-// merge is what the sources together say of a host.
+// merge combines the reports of all sources on a host. It returns false if there are none.
 func (m *Merger) merge(name string) (out Entry, ok bool) {
-	listed := -1 // the first that lists it
-	gone := -1   // the first that says a word
+	listed := -1   // the first source that lists it
+	departed := -1 // the last source that reports it as left, else the first that reports it as leaving
 	for i := range m.sources {
 		s := &m.sources[i]
 		if e, has := s.hosts[name]; has {
@@ -284,28 +289,28 @@
 				out.Others = append(out.Others, i)
 			}
 		}
-		if w, warned := s.words[name]; warned && (gone < 0 || w.entry.Status == membership.Left) {
-			gone = i
+		if w, departing := s.departures[name]; departing && (departed < 0 || w.entry.Status == membership.Left) {
+			departed = i
 		}
 	}
 	out.Source = listed
-	if gone < 0 {
+	if departed < 0 {
 		return out, listed >= 0
 	}
-	w := m.sources[gone].words[name].entry
+	w := m.sources[departed].departures[name].entry
 	if listed < 0 {
 		out.Endpoint = w
 	}
-	if gone != listed && listed >= 0 {
-		out.Others = slices.DeleteFunc(append(out.Others, listed), func(i int) bool { return i == gone })
+	if departed != listed && listed >= 0 {
+		out.Others = slices.DeleteFunc(append(out.Others, listed), func(i int) bool { return i == departed })
 		slices.Sort(out.Others)
 	}
-	out.Source, out.Status = gone, w.Status
+	out.Source, out.Status = departed, w.Status
 	return out, true
 }
 
-// claimant is the host that counts for an address.
-func (m *Merger) claimant(address string) (best string) {
+// winner returns the name of the active host that counts for an address, or "" if there is none.
+func (m *Merger) winner(address string) (best string) {
 	for name := range m.claims[address] {
 		x, y := m.merged[name], m.merged[best]
 		if x.Status != membership.Active {
@@ -322,10 +327,10 @@
 	return best
 }
 
-// leaves is a host that leaves the address by the word of a source which has no active one
-// there; "": there is none. The source that has the active host may know better: there the
-// name is another because the host is.
-func (m *Merger) leaves(address string, active int) (first string) {
+// leavingHost returns the first name of a host that is leaving the address according to a source
+// which has no active host there, or "" if there is none. Source active, which has the active host,
+// is exempt: if it uses different names, they are different hosts.
+func (m *Merger) leavingHost(address string, active int) (first string) {
 	for name := range m.claims[address] {
 		e := m.merged[name]
 		if e.Status != membership.Leaving || e.Source == active || first != "" && first < name {
