--- a/internal/membership/subset/subset_test.go
+++ b/internal/membership/subset/subset_test.go
@@ -169,7 +169,7 @@
 		return n
 	}
 	all := 300 * Fleet{Count: 60}.Sharers(300)
-	if withIDs, withNumbers := moved(true), moved(false); withIDs > all/20 || withNumbers < 4*withIDs {
-		t.Errorf("of %d assignments %d change with IDs, and %d with numbers alone", all, withIDs, withNumbers)
+	if movedWithIDs, movedWithNumbers := moved(true), moved(false); movedWithIDs > all/20 || movedWithNumbers < 4*movedWithIDs {
+		t.Errorf("of %d assignments %d change with IDs, and %d with numbers alone", all, movedWithIDs, movedWithNumbers)
 	}
 }
--- a/internal/membership/view/view.go
+++ b/internal/membership/view/view.go
@@ -39,9 +39,11 @@
 // Entry is a host of the merged view.
 type Entry struct {
 	membership.Endpoint
-	Source int    // index of the source that determines the status
-	Others []int  // indexes of the other sources that list the host
-	Hidden string // name of the host that counts for the address instead, or is leaving there; empty if none
+	Source int   // index of the source that determines the status
+	Others []int // indexes of the other sources that list the host
+	// Hidden is the name of the host that counts for the address instead of this one, or that is
+	// leaving there. It is empty if there is none.
+	Hidden string
 }
 
 // Merger keeps the reported state of each source. It is not safe for concurrent use.
@@ -57,9 +59,11 @@
 	index      uint64
 	reported   bool
 	hosts      map[string]membership.Endpoint
-	departures map[string]departure // hosts reported as leaving or left, which an older list would undo
+	departures map[string]departure // last leaving or left report of a host, by name
 	skipped    int                  // number of messages older than the known version
-	discarded  []string             // hosts whose departures were dropped other than by a message; merged again with the next one
+	// discarded lists the hosts whose departures were dropped by Forget or by maxDepartures. They
+	// are merged again with the next message.
+	discarded []string
 }
 
 type departure struct {
@@ -95,7 +99,7 @@
 // Skipped returns how many messages of source i had a version older than the known one.
 func (m *Merger) Skipped(i int) int { return m.sources[i].skipped }
 
-// Reported says whether source i has said anything.
+// Reported returns whether source i has sent a message since New or its last Forget.
 func (m *Merger) Reported(i int) bool { return m.sources[i].reported }
 
 // Get returns the entry of a host, and whether there is one.
