--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -82,8 +82,8 @@
 		}
 		if c.Keys == 0 {
 			c.Keys = limit.DefaultKeys
-		} else if c.Keys < table.Least || c.Keys > mostKeyed {
-			d.fail(key+".keys", "%d is not from %d to %d", c.Keys, table.Least, mostKeyed)
+		} else if c.Keys < table.MinKeys || c.Keys > mostKeyed {
+			d.fail(key+".keys", "%d is not from %d to %d", c.Keys, table.MinKeys, mostKeyed)
 		}
 		c.Exempt = d.exempt(key, in.Exempt)
 		m.Rules = append(m.Rules, c)
--- a/internal/limit/limit_test.go
+++ b/internal/limit/limit_test.go
@@ -18,7 +18,7 @@
 
 // by is a rule on one header.
 func by(change func(*Config)) Config {
-	c := Config{Name: "resident", Key: []Part{{Kind: Header, Name: "X-Resident"}}, IPv4: 32, IPv6: 64, Rate: 10, Keys: table.Least}
+	c := Config{Name: "resident", Key: []Part{{Kind: Header, Name: "X-Resident"}}, IPv4: 32, IPv6: 64, Rate: 10, Keys: table.MinKeys}
 	if change != nil {
 		change(&c)
 	}
@@ -149,7 +149,7 @@
 	if !passes(Gate{same}, time.Second, of("a")) || passes(Gate{same}, time.Second, of("a")) || !passes(Gate{same}, 2*time.Second, of("a")) {
 		t.Error("a rule whose figures change does not go on with what it knows")
 	}
-	other := New(time.Second, by(func(c *Config) { c.Burst, c.Keys = 9, 2*table.Least }), old, false, Alone(1))
+	other := New(time.Second, by(func(c *Config) { c.Burst, c.Keys = 9, 2*table.MinKeys }), old, false, Alone(1))
 	second := New(time.Second, by(func(c *Config) { c.Burst = 9 }), nil, true, Alone(1))
 	for _, r := range []*Rule{other, second} {
 		if !passes(Gate{r}, time.Second, of("b")) || passes(Gate{r}, time.Second, of("b")) || !passes(Gate{r}, time.Second+100*ms, of("b")) {
@@ -334,7 +334,7 @@
 		passes(Gate{r}, Time(n)*100*time.Microsecond, of(fmt.Sprint("new ", rng.Uint64())))
 		passes(Gate{r}, Time(n)*100*time.Microsecond, of("heavy"))
 	}
-	if s := r.Status(2*time.Second, true); len(s.Heavy) == 0 || s.Heavy[0].Name != "heavy" || s.Most != table.Least || s.GaveWay == 0 || s.Keys > s.Most {
+	if s := r.Status(2*time.Second, true); len(s.Heavy) == 0 || s.Heavy[0].Name != "heavy" || s.Most != table.MinKeys || s.GaveWay == 0 || s.Keys > s.Most {
 		t.Errorf("%+v", s)
 	}
 	if s := r.Status(2*time.Second, false); strings.Contains(fmt.Sprint(s.Heavy), "heavy") {
--- a/internal/limit/table/table.go
+++ b/internal/limit/table/table.go
@@ -28,8 +28,8 @@
 	blockCells  = 8
 	cellsOf     = 2 * blocks
 	cellsPerKey = 4 // cells that the sketch has for each entry
-	// Least is the fewest keys that a table holds.
-	Least = shards * ways
+	// MinKeys is the fewest keys that a table holds.
+	MinKeys = shards * ways
 	// fullest is the part f of the sketch's cells that may hold instants to come. Beyond it keys that
 	// give way are forgotten. A key that nobody knows meets such instants in both cells of a block
 	// with 1 - 2(1-f) + (1-f)^(13/7), in all four with the square of that: 1 in 1000.
