--- a/internal/limit/table/table.go
+++ b/internal/limit/table/table.go
@@ -38,11 +38,11 @@
 
 // Entry is what is held of one key. It belongs to whoever holds its Set.
 type Entry struct {
-	key   uint64
-	at    int64   // instant of level
-	level float64 // units
-	Asked uint32  // since it was made, up to the most that fits
-	Over  uint32  // of them, turned away
+	key     uint64
+	at      int64   // instant of level
+	level   float64 // units
+	Asked   uint32  // since it was made, up to the most that fits
+	Refused uint32  // of them, turned away
 }
 
 // Level is how much has not drained at an instant, at a rate in units a second.
@@ -61,7 +61,7 @@
 	if e.Asked < math.MaxUint32 {
 		e.Asked++
 		if over {
-			e.Over++
+			e.Refused++
 		}
 	}
 }
