--- a/internal/limit/table/table.go
+++ b/internal/limit/table/table.go
@@ -1,16 +1,19 @@
-// Package table keeps how much each of very many keys has used of what it may, in fixed memory.
+// Package table keeps the level of use of a very large number of rate-limited keys in fixed memory.
 //
-// A level fills with what a key uses and drains at a rate; one that has drained says nothing, and
-// its entry is anybody's. Entries lie in sets of a few ways (as lines of a processor's cache do):
-// a look reads one set, so nothing is scanned, linked or moved, and an entry expires by being
-// looked at. Where a set has no room, the key that drains first gives way, and the instant at
-// which it will have drained is kept in a sketch: cells that hold the latest such instant of all
-// keys that meet there. What the sketch says of a key is never too early, so a key that was given
-// up gets nothing by it; that it is too late, by other keys, takes one in each of the key's cells
-// which itself had as much left to drain.
+// The level of a key rises with its use and drains at a rate. A level that has drained to 0 carries
+// no information, so its entry can be reused. Entries are stored in sets of a few ways, as in a
+// set-associative processor cache: a lookup reads one set, so no entries are scanned, linked or
+// moved, and an entry expires when a lookup finds it drained. If a set is full, the key that drains
+// first is evicted; keys with at most one counted request are evicted before others. The instant at
+// which the evicted key will have drained is kept in a sketch, whose cells each hold the latest such
+// instant of all keys that share the cell. The sketch's instant for a key is never too early, so a
+// key gains nothing by being evicted. It is too late only if each of the key's cells is shared with
+// another evicted key that itself had that long left to drain. If the sketch is too full, an evicted
+// key is forgotten instead, and counted.
 //
-// Package table knows no rules and no clock: instants are handed in, in nanoseconds from 0 on. Where
-// they go back, time stands still. docs/design/limits.md has the bounds.
+// Package table contains no limit rules and reads no clock: the caller passes instants in nanoseconds,
+// from 0 on. If an instant is before one passed earlier, the earlier one is used again.
+// docs/design/limits.md has the bounds.
 package table
 
 import (
@@ -22,30 +25,31 @@
 const (
 	ways   = 8 // entries of a set
 	shards = 32
-	// A key has two cells in each of two blocks of the sketch, which are a line of a cache each:
-	// four cells anywhere would wait four times for memory.
-	blocks      = 2
-	blockCells  = 8
-	cellsOf     = 2 * blocks
-	cellsPerKey = 4 // cells that the sketch has for each entry
-	// MinKeys is the fewest keys that a table holds.
+	// A key has two cells in each of two blocks of the sketch. A block is one cache line; four cells
+	// at independent positions would cost four memory accesses.
+	keyBlocks     = 2
+	blockCells    = 8
+	keyCells      = 2 * keyBlocks
+	cellsPerEntry = 4 // sketch cells allocated for each entry of the table
+	// MinKeys is the capacity of the smallest table, in keys.
 	MinKeys = shards * ways
-	// fullest is the part f of the sketch's cells that may hold instants to come. Beyond it keys that
-	// give way are forgotten. A key that nobody knows meets such instants in both cells of a block
-	// with 1 - 2(1-f) + (1-f)^(13/7), in all four with the square of that: 1 in 1000.
-	fullest = 0.13
+	// maxSketchLoad is the maximum fraction f of the sketch's cells that may hold future instants.
+	// Above it evicted keys are forgotten. An unknown key finds future instants in both of its cells
+	// of a block with probability 1 - 2(1-f) + (1-f)^(13/7), and in all four cells with the square
+	// of that: 1 in 1000.
+	maxSketchLoad = 0.13
 )
 
-// Entry is what is held of one key. It belongs to whoever holds its Set.
+// Entry is the state of one key. It may be used only while its Set is locked.
 type Entry struct {
 	key     uint64
-	at      int64   // instant of level
+	at      int64   // instant at which level was set
 	level   float64 // units
-	Asked   uint32  // since it was made, up to the most that fits
-	Refused uint32  // of them, turned away
+	Asked   uint32  // calls of Count since the entry was made, saturating
+	Refused uint32  // those of Asked that were refused
 }
 
-// Level is how much has not drained at an instant, at a rate in units a second.
+// Level returns the units left at an instant, after draining at a rate in units per second.
 func (e *Entry) Level(now int64, rate float64) float64 {
 	if dt := now - e.at; dt > 0 {
 		return max(0, e.level-rate*float64(dt)*1e-9)
@@ -53,58 +57,58 @@
 	return e.level
 }
 
-// Set puts the level as of an instant.
+// Set sets the level as of an instant. A negative level is stored as 0.
 func (e *Entry) Set(now int64, level float64) { e.at, e.level = now, max(0, level) }
 
-// Count counts a look at the entry.
-func (e *Entry) Count(over bool) {
+// Count counts one request of the key, and whether it was refused. It saturates.
+func (e *Entry) Count(refused bool) {
 	if e.Asked < math.MaxUint32 {
 		e.Asked++
-		if over {
+		if refused {
 			e.Refused++
 		}
 	}
 }
 
-// Counts are totals since the table was made.
+// Counts holds totals since the table was made.
 type Counts struct {
-	// GaveWay are entries whose key gave way with something left to drain, Forgotten those of them
-	// of which the sketch could not take a note.
+	// GaveWay counts the entries evicted before they had drained, and Forgotten those of them that
+	// the sketch had no room to record.
 	GaveWay, Forgotten int64
 }
 
-// Table is a table of a fixed size. Get locks a part of it.
+// Table is a table of a fixed size. It is safe for concurrent use: Get locks one shard.
 type Table struct {
-	shards [shards]shard
-	sets   uint64 // in each shard, a power of two
-	blocks uint64 // in each shard's sketch, a power of two
-	base   Entry  // what a key begins with that nothing is known of
-	gave   atomic.Int64
-	forgot atomic.Int64
+	shards    [shards]shard
+	sets      uint64 // in each shard, a power of two
+	blocks    uint64 // in each shard's sketch, a power of two
+	base      Entry  // initial entry of an unknown key
+	gaveWay   atomic.Int64
+	forgotten atomic.Int64
 }
 
 type shard struct {
 	mu      sync.Mutex
 	entries []Entry
-	sketch  []int64 // cells, by blocks
-	now     int64   // the latest instant that was handed in
-	latest  int64   // of all cells
-	// Each note looks at one block more, in turn, so that the cells which hold instants to come are
-	// counted without a scan: they are no more than counted, as of the sweep before this one, and those
-	// that have come to hold one since that sweep looked at them.
-	sweep         uint64
-	found, turned int // of this sweep
-	counted       int
-	_             [32]byte
+	sketch  []int64 // cells, block after block
+	now     int64   // the latest instant that a caller passed
+	latest  int64   // the latest instant in any cell
+	// Each eviction also inspects the next block of the sketch, so that the cells with future instants
+	// are counted without a full scan. Their number is at most pending, the count of the previous
+	// sweep, plus newlyPending, the cells that received a future instant during this sweep.
+	sweepNext                  uint64
+	pendingFound, newlyPending int // in this sweep
+	pending                    int
+	_                          [32]byte
 }
 
-// New makes a table for at least so many keys. It takes Bytes of memory from then on.
+// New makes a table for at least the given number of keys. It allocates all of its memory, Bytes.
 func New(keys int) *Table {
 	t := &Table{sets: 1}
 	for int(t.sets)*shards*ways < keys {
 		t.sets *= 2
 	}
-	t.blocks = t.sets * ways * cellsPerKey / blockCells
+	t.blocks = t.sets * ways * cellsPerEntry / blockCells
 	for i := range t.shards {
 		t.shards[i].entries = make([]Entry, t.sets*ways)
 		t.shards[i].sketch = make([]int64, t.blocks*blockCells)
@@ -112,36 +116,38 @@
 	return t
 }
 
-// Begin has keys that nothing is known of begin with a level as of an instant, in place of none.
-// It is called before the first Get.
+// Begin sets the level, as of an instant, that unknown keys start with in place of 0. It must be
+// called before the first Get.
 func (t *Table) Begin(now int64, level float64) { t.base.Set(now, level) }
 
-// Keys is how many keys the table holds.
+// Keys returns the capacity of the table, in keys.
 func (t *Table) Keys() int { return shards * int(t.sets) * ways }
 
-// Bytes is the memory that the table takes.
-func (t *Table) Bytes() int { return t.Keys() * (32 + cellsPerKey*8) }
+// Bytes returns the memory that the entries and the sketch take.
+func (t *Table) Bytes() int { return t.Keys() * (32 + cellsPerEntry*8) }
 
-// Set is a part of the table that is locked, as of Now, until Unlock.
+// Set is a locked part of the table. Unlock must be called.
 type Set struct {
-	Now int64 // what was handed in, or the latest before if that is later
+	Now int64 // the instant passed to Get, or the latest passed before if that is later
 	s   *shard
 }
 
-// Unlock lets go of the set, and of the entry that came with it.
+// Unlock unlocks the set. The entry that Get returned with it must not be used afterwards.
 func (s Set) Unlock() { s.s.mu.Unlock() }
 
-// spread scatters a hash over places that no other part of the table goes by.
-func spread(key, by uint64) uint64 {
+// mix mixes the bits of a hash, so that positions derived from it are independent of the ones that
+// the rest of the table derives from the hash.
+func mix(key, multiplier uint64) uint64 {
 	key ^= key >> 32
-	key *= by
+	key *= multiplier
 	return key ^ key>>29
 }
 
-// Get finds the entry of a key, a hash whose lowest bit counts for nothing, or makes one: with
-// what the sketch knows of it, at a rate in units a second by which levels drain.
+// Get locks and returns the entry of a key, a hash whose lowest bit is ignored. An unknown key gets
+// a new entry, with the level that the sketch has recorded for it, if any. Levels drain at rate,
+// in units per second. The caller must unlock the Set.
 func (t *Table) Get(key uint64, now int64, rate float64) (Set, *Entry) {
-	key |= 1 // 0 is no key
+	key |= 1 // 0 marks an unused entry
 	s := &t.shards[key>>(64-5)]
 	s.mu.Lock()
 	now = max(now, s.now)
@@ -149,7 +155,7 @@
 	first := (key >> 8 & (t.sets - 1)) * ways
 	set := s.entries[first : first+ways : first+ways]
 	var victim *Entry
-	worst := math.Inf(1)
+	victimLeft := math.Inf(1)
 	for i := range set {
 		e := &set[i]
 		if e.key == key {
@@ -159,21 +165,21 @@
 		if e.key != 0 {
 			if left = e.Level(now, rate); left == 0 {
 				left = -0.5
-			} else if e.Asked > 1 { // who came once gives way before who comes again
+			} else if e.Asked > 1 { // evict keys seen once before recurring keys
 				left += 1e9
 			}
 		}
-		if left < worst {
-			victim, worst = e, left
+		if left < victimLeft {
+			victim, victimLeft = e, left
 		}
 	}
-	if worst > 0 {
-		t.pour(s, victim, now, rate)
+	if victimLeft > 0 {
+		t.recordEviction(s, victim, now, rate)
 	}
 	*victim = t.base
 	victim.key = key
 	if s.latest > now {
-		if until := t.known(s, key); until > now {
+		if until := t.drainedBy(s, key); until > now {
 			if level := float64(until-now) * 1e-9 * rate; level > victim.Level(now, rate) {
 				victim.Set(now, level)
 			}
@@ -182,21 +188,21 @@
 	return Set{now, s}, victim
 }
 
-// cells are a key's, in the sketch of its shard.
-func (t *Table) cells(key uint64) (at [cellsOf]uint64) {
-	h := spread(key, 0x9e3779b97f4a7c15)
-	for i := range uint64(blocks) {
+// cells returns the indexes of a key's cells in the sketch of its shard.
+func (t *Table) cells(key uint64) (indexes [keyCells]uint64) {
+	h := mix(key, 0x9e3779b97f4a7c15)
+	for i := range uint64(keyBlocks) {
 		first := (h >> 40 & (t.blocks - 1)) * blockCells
-		one := h & (blockCells - 1)
-		at[2*i] = first + one
-		at[2*i+1] = first + (one+1+h>>3%(blockCells-1))&(blockCells-1)
-		h = spread(h, 0xc2b2ae3d27d4eb4f)
+		offset := h & (blockCells - 1)
+		indexes[2*i] = first + offset
+		indexes[2*i+1] = first + (offset+1+h>>3%(blockCells-1))&(blockCells-1)
+		h = mix(h, 0xc2b2ae3d27d4eb4f)
 	}
-	return at
+	return indexes
 }
 
-// known is by when a key will have drained, at the latest, as far as it gave way once.
-func (t *Table) known(s *shard, key uint64) int64 {
+// drainedBy returns the sketch's upper bound of the instant at which an evicted key has drained.
+func (t *Table) drainedBy(s *shard, key uint64) int64 {
 	until := int64(math.MaxInt64)
 	for _, i := range t.cells(key) {
 		until = min(until, s.sketch[i])
@@ -204,9 +210,10 @@
 	return until
 }
 
-// pour notes in the sketch by when an entry will have drained.
-func (t *Table) pour(s *shard, e *Entry, now int64, rate float64) {
-	t.gave.Add(1)
+// recordEviction records in the sketch the instant at which an evicted entry will have drained, or
+// counts the entry as forgotten if the sketch is too full.
+func (t *Table) recordEviction(s *shard, e *Entry, now int64, rate float64) {
+	t.gaveWay.Add(1)
 	left := e.Level(now, rate) / rate * 1e9
 	if !(left < 1<<62) {
 		left = 1 << 62
@@ -215,40 +222,40 @@
 	if until < now {
 		until = math.MaxInt64
 	}
-	s.look(now)
-	at := t.cells(e.key)
-	if float64(s.counted+s.turned+cellsOf) > fullest*float64(len(s.sketch)) {
-		t.forgot.Add(1)
+	s.sweepBlock(now)
+	indexes := t.cells(e.key)
+	if float64(s.pending+s.newlyPending+keyCells) > maxSketchLoad*float64(len(s.sketch)) {
+		t.forgotten.Add(1)
 		return
 	}
-	for _, i := range at {
+	for _, i := range indexes {
 		if s.sketch[i] <= now {
-			s.turned++
+			s.newlyPending++
 		}
 		s.sketch[i] = max(s.sketch[i], until)
 	}
 	s.latest = max(s.latest, until)
 }
 
-// look counts one block's cells that hold instants to come.
-func (s *shard) look(now int64) {
-	for _, until := range s.sketch[s.sweep : s.sweep+blockCells] {
+// sweepBlock counts the cells with future instants in the next block of the sketch.
+func (s *shard) sweepBlock(now int64) {
+	for _, until := range s.sketch[s.sweepNext : s.sweepNext+blockCells] {
 		if until > now {
-			s.found++
+			s.pendingFound++
 		}
 	}
-	if s.sweep += blockCells; s.sweep == uint64(len(s.sketch)) {
-		s.counted, s.found, s.turned, s.sweep = s.found+s.turned, 0, 0, 0
+	if s.sweepNext += blockCells; s.sweepNext == uint64(len(s.sketch)) {
+		s.pending, s.pendingFound, s.newlyPending, s.sweepNext = s.pendingFound+s.newlyPending, 0, 0, 0
 	}
 }
 
-// Counts are the totals.
+// Counts returns the totals.
 func (t *Table) Counts() Counts {
-	return Counts{GaveWay: t.gave.Load(), Forgotten: t.forgot.Load()}
+	return Counts{GaveWay: t.gaveWay.Load(), Forgotten: t.forgotten.Load()}
 }
 
-// Each calls f for every entry that has something left to drain, shard after shard, each locked
-// meanwhile.
+// Each calls f for every entry whose level has not drained to 0. It locks one shard at a time, also
+// during the calls of f.
 func (t *Table) Each(now int64, rate float64, f func(level float64)) {
 	for i := range t.shards {
 		s := &t.shards[i]
--- a/internal/limit/table/table_test.go
+++ b/internal/limit/table/table_test.go
@@ -43,7 +43,7 @@
 			if now += r.Int64N(second / 10); r.IntN(50) == 0 {
 				now = max(0, now-r.Int64N(second)) // the clock goes back
 			}
-			key := spread(uint64(r.IntN(many)+1), 0xd6e8feb86659fd93) | 1
+			key := mix(uint64(r.IntN(many)+1), 0xd6e8feb86659fd93) | 1
 			cost := r.Float64() * 3
 			set, e := tab.Get(key, now, rate)
 			got := e.Level(set.Now, rate)
@@ -135,7 +135,7 @@
 			wrong++
 		}
 	}
-	bound := math.Pow(1-2*(1-fullest)+math.Pow(1-fullest, 13.0/7), blocks)
+	bound := math.Pow(1-2*(1-maxSketchLoad)+math.Pow(1-maxSketchLoad, 13.0/7), keyBlocks)
 	if got := float64(wrong) / float64(looks); got > bound {
 		t.Errorf("%.5f of unknown keys are held to be over, at most %.5f", got, bound)
 	}
@@ -199,7 +199,7 @@
 	now := int64(0)
 	for b.Loop() {
 		now += 5000
-		use(tab, spread(r.Uint64N(different)+1, 0xd6e8feb86659fd93), now, rate, 5)
+		use(tab, mix(r.Uint64N(different)+1, 0xd6e8feb86659fd93), now, rate, 5)
 	}
 }
 
