--- a/internal/limit/heavy/heavy.go
+++ b/internal/limit/heavy/heavy.go
@@ -1,9 +1,10 @@
-// Package heavy finds the keys that come most often of very many, in fixed memory, with the names
-// that they have: Space-Saving of Metwally, Agrawal and El Abbadi (2005), with counts that fade so
-// that what was heavy long ago gives way. A key that makes more than one part in the size of all
-// weight is always among them, and no count is too high by more than its Error.
+// Package heavy finds the most frequent of a very large number of keys, and their names, in fixed
+// memory. It uses the Space-Saving algorithm of Metwally, Agrawal and El Abbadi (2005), with counts
+// that decay, so that keys that were heavy long ago are replaced. In a list of n keys, a key that has
+// more than 1/n of the total weight is always included, and no count is too high by more than its
+// Error.
 //
-// It knows neither clock nor rules. A List is not safe for concurrent use.
+// The package reads no clock and contains no limit rules. A List is not safe for concurrent use.
 package heavy
 
 import (
@@ -11,63 +12,66 @@
 	"slices"
 )
 
-// Key is a key that comes often.
+// Key is a frequent key, as Top returns it.
 type Key struct {
 	Hash  uint64
 	Name  string
-	Count float64 // weight, the error included
-	Error float64 // that the count may be too high by
+	Count float64 // total weight after decay, including Error
+	Error float64 // upper bound of how much Count is too high
 }
 
-// List is the heaviest of the keys that were added.
+// List holds the heaviest of the keys that were added.
 type List struct {
 	keys []Key
 	size int
-	// longest is how much of a name is kept, in bytes.
-	longest int
-	gain    float64 // what one weighs now: it grows, in place of all counts fading
+	// maxName is the maximum length of a stored name, in bytes. Longer names are cut.
+	maxName int
+	gain    float64 // scale of newly added weight: Fade raises it instead of reducing all counts
 }
 
-// New makes a list of so many keys, with names of so many bytes at most.
-func New(size, longest int) *List { return &List{size: size, longest: longest, gain: 1} }
+// New makes a list of at most size keys, with names cut to maxName bytes.
+func New(size, maxName int) *List { return &List{size: size, maxName: maxName, gain: 1} }
 
-const mostGain = 1e100
+// maxGain is the scale above which Fade normalizes all counts, so that they do not overflow.
+const maxGain = 1e100
 
-// Add adds weight to a key. name is asked for only if the key is new here.
+// Add adds weight to a key. It calls name only if the key is not in the list. If the list is full,
+// such a key replaces the one with the lowest count, and inherits that count as its Error.
 func (l *List) Add(hash uint64, weight float64, name func() string) {
 	weight *= l.gain
-	least := -1
-	for i := range l.keys { // short enough that a heap would cost more
+	lightest := -1
+	for i := range l.keys { // the list is short enough that a heap would cost more
 		k := &l.keys[i]
 		if k.Hash == hash {
 			k.Count += weight
 			return
 		}
-		if least < 0 || k.Count < l.keys[least].Count {
-			least = i
+		if lightest < 0 || k.Count < l.keys[lightest].Count {
+			lightest = i
 		}
 	}
 	if len(l.keys) < l.size {
-		l.keys = append(l.keys, Key{Hash: hash, Name: l.short(name()), Count: weight})
+		l.keys = append(l.keys, Key{Hash: hash, Name: l.cutName(name()), Count: weight})
 		return
 	}
-	k := &l.keys[least]
-	*k = Key{Hash: hash, Name: l.short(name()), Count: k.Count + weight, Error: k.Count}
+	k := &l.keys[lightest]
+	*k = Key{Hash: hash, Name: l.cutName(name()), Count: k.Count + weight, Error: k.Count}
 }
 
-func (l *List) short(name string) string {
-	if len(name) > l.longest {
-		name = name[:l.longest]
+// cutName returns a copy of at most maxName bytes of a name.
+func (l *List) cutName(name string) string {
+	if len(name) > l.maxName {
+		name = name[:l.maxName]
 	}
-	return string([]byte(name)) // not a part of something larger
+	return string([]byte(name)) // a copy, so that no larger string is kept in memory
 }
 
-// Fade leaves a part of every count.
-func (l *List) Fade(part float64) {
-	if !(part > 0 && part < 1) {
+// Fade multiplies every count by factor. It ignores a factor that is not between 0 and 1, exclusive.
+func (l *List) Fade(factor float64) {
+	if !(factor > 0 && factor < 1) {
 		return
 	}
-	if l.gain /= part; l.gain > mostGain {
+	if l.gain /= factor; l.gain > maxGain {
 		for i := range l.keys {
 			l.keys[i].Count /= l.gain
 			l.keys[i].Error /= l.gain
@@ -76,13 +80,13 @@
 	}
 }
 
-// Top are the heaviest, heaviest first, with what they weigh now.
+// Top returns up to n of the heaviest keys, heaviest first, with their decayed counts.
 func (l *List) Top(n int) []Key {
-	list := slices.Clone(l.keys)
-	for i := range list {
-		list[i].Count /= l.gain
-		list[i].Error /= l.gain
+	keys := slices.Clone(l.keys)
+	for i := range keys {
+		keys[i].Count /= l.gain
+		keys[i].Error /= l.gain
 	}
-	slices.SortFunc(list, func(x, y Key) int { return cmp.Or(cmp.Compare(y.Count, x.Count), cmp.Compare(x.Hash, y.Hash)) })
-	return list[:min(n, len(list))]
+	slices.SortFunc(keys, func(x, y Key) int { return cmp.Or(cmp.Compare(y.Count, x.Count), cmp.Compare(x.Hash, y.Hash)) })
+	return keys[:min(n, len(keys))]
 }
--- a/internal/limit/table/table_test.go
+++ b/internal/limit/table/table_test.go
@@ -11,7 +11,7 @@
 
 const second = int64(1e9)
 
-// use lets a key take a unit if what it owes is at most the burst, as a rule does.
+// use requests one unit for a key. Like a limit rule, it grants it if the level is at most the burst.
 func use(t *Table, key uint64, now int64, rate, burst float64) bool {
 	set, e := t.Get(key, now, rate)
 	defer set.Unlock()
@@ -25,8 +25,8 @@
 	return ok
 }
 
-// Whatever comes: while nothing was forgotten no key is held to owe less than it does, and while
-// none gave way each is held to owe just that.
+// Compares levels with those of a plain map, for any requests: while no key was forgotten, no level
+// is too low, and while no key was evicted, each level is exact.
 func TestLevelsAgainstAPlainMap(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tab := New(1)
@@ -37,13 +37,13 @@
 		exact := map[uint64]plain{}
 		rate := rapid.Float64Range(0.001, 1000).Draw(t, "rate")
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
-		many := rapid.IntRange(1, 2000).Draw(t, "keys")
+		keyCount := rapid.IntRange(1, 2000).Draw(t, "keys")
 		now := int64(0)
 		for range 3000 {
 			if now += r.Int64N(second / 10); r.IntN(50) == 0 {
 				now = max(0, now-r.Int64N(second)) // the clock goes back
 			}
-			key := mix(uint64(r.IntN(many)+1), 0xd6e8feb86659fd93) | 1
+			key := mix(uint64(r.IntN(keyCount)+1), 0xd6e8feb86659fd93) | 1
 			cost := r.Float64() * 3
 			set, e := tab.Get(key, now, rate)
 			got := e.Level(set.Now, rate)
@@ -53,11 +53,11 @@
 			e.Set(set.Now, got+cost)
 			set.Unlock()
 			if set.Now < now {
-				t.Fatalf("the table's time is %d at %d", set.Now, now)
+				t.Fatalf("the table uses instant %d, want at least %d", set.Now, now)
 			}
 			c := tab.Counts()
 			if tol := 1e-6 * (1 + got); c.Forgotten == 0 && got < p.level-tol || c.GaveWay == 0 && math.Abs(got-p.level) > tol {
-				t.Fatalf("it is held to owe %v, and owes %v; %+v", got, p.level, c)
+				t.Fatalf("level %v, want %v; %+v", got, p.level, c)
 			}
 			p.level += cost
 			exact[key] = p
@@ -65,7 +65,7 @@
 	})
 }
 
-// flood has so many keys that were never seen come, one request each.
+// flood sends one request for each of n new random keys, and returns how many were granted.
 func flood(t *Table, r *rand.Rand, n int, now int64, rate, burst float64) (passed int) {
 	for range n {
 		if use(t, r.Uint64(), now, rate, burst) {
@@ -75,8 +75,8 @@
 	return passed
 }
 
-// A flood of ever new keys, a hundred times as many as are kept, takes nothing from a quiet key
-// and gives a heavy one nothing.
+// A flood of new keys, about a hundred times the table's capacity, neither causes requests of a key
+// below its rate to be refused nor lets a key above its rate exceed its limit.
 func TestFloodOfNewKeys(t *testing.T) {
 	for _, burst := range []float64{0, 1, 5} {
 		t.Run(fmt.Sprint("burst ", burst), func(t *testing.T) {
@@ -93,30 +93,30 @@
 						heavyPassed++
 					}
 				}
-				if tick%2 == 0 && use(tab, quiet, now, rate, burst) { // half of its rate
+				if tick%2 == 0 && use(tab, quiet, now, rate, burst) { // half of the rate
 					quietPassed++
 				}
 			}
 			if quietPassed != seconds*5 {
-				t.Errorf("a quiet key passed %d times of %d", quietPassed, seconds*5)
+				t.Errorf("the key below its rate passed %d times of %d", quietPassed, seconds*5)
 			}
-			if most := int(rate*seconds + burst + 1); heavyPassed > most || heavyPassed < most-int(rate) {
-				t.Errorf("a heavy key passed %d times, want %d", heavyPassed, most)
+			if maxPassed := int(rate*seconds + burst + 1); heavyPassed > maxPassed || heavyPassed < maxPassed-int(rate) {
+				t.Errorf("the key above its rate passed %d times, want %d", heavyPassed, maxPassed)
 			}
 			if c := tab.Counts(); c.GaveWay == 0 {
-				t.Errorf("nothing gave way: %+v", c)
+				t.Errorf("no key was evicted: %+v", c)
 			}
 		})
 	}
 }
 
-// Keys that are all at their limits, more than are kept: a key that nobody knows is wrongly held to
-// be over no more often than the sketch's part of cells says, to the power of its rows; and those
-// that were forgotten get no more than what they owed.
+// More keys than the table holds, all at their limits: unknown keys are wrongly refused no more often
+// than follows from the maximum load of the sketch, and each forgotten eviction lets at most one extra
+// unit pass.
 func TestFloodOfHeavyKeys(t *testing.T) {
 	r := rand.New(rand.NewPCG(3, 3))
 	tab := New(1 << 14)
-	const rate, burst = 0.01, 0.0 // a hundred seconds for one unit: nothing drains here
+	const rate, burst = 0.01, 0.0 // one unit drains in 100 s, so nothing drains here
 	passed := 0
 	keys := make([]uint64, 3*tab.Keys())
 	for i := range keys {
@@ -129,26 +129,26 @@
 			}
 		}
 	}
-	wrong, looks := 0, 200000
-	for range looks {
+	refused, lookups := 0, 200000
+	for range lookups {
 		if !use(tab, r.Uint64(), second, rate, burst) {
-			wrong++
+			refused++
 		}
 	}
 	bound := math.Pow(1-2*(1-maxSketchLoad)+math.Pow(1-maxSketchLoad, 13.0/7), keyBlocks)
-	if got := float64(wrong) / float64(looks); got > bound {
-		t.Errorf("%.5f of unknown keys are held to be over, at most %.5f", got, bound)
+	if got := float64(refused) / float64(lookups); got > bound {
+		t.Errorf("%.5f of unknown keys were refused, want at most %.5f", got, bound)
 	}
 	c := tab.Counts()
 	if c.Forgotten == 0 {
-		t.Fatalf("nothing was forgotten: %+v", c)
+		t.Fatalf("no key was forgotten: %+v", c)
 	}
-	if most := len(keys) + int(c.Forgotten); passed > most {
-		t.Errorf("%d passed, at most %d", passed, most)
+	if maxPassed := len(keys) + int(c.Forgotten); passed > maxPassed {
+		t.Errorf("%d passed, want at most %d", passed, maxPassed)
 	}
 }
 
-// An instant far ahead, and one that can't be reckoned with, are held as the latest there is.
+// A drain time too long to represent is capped instead of overflowing, so the level is not lost.
 func TestLevelsWithoutEnd(t *testing.T) {
 	tab := New(1)
 	for i := range uint64(ways + 1) {
@@ -163,7 +163,7 @@
 	}
 	set, e := tab.Get(1, second, 1)
 	if e.Level(set.Now, 1) < 1 {
-		t.Errorf("what it owes was lost: %v", e.Level(set.Now, 1))
+		t.Errorf("the level was lost: %v", e.Level(set.Now, 1))
 	}
 	set.Unlock()
 }
@@ -192,25 +192,27 @@
 	})
 }
 
-// seen is a stream of keys of which so many are different.
-func benchmark(b *testing.B, tab *Table, different uint64, rate float64) {
+// benchmark measures lookups of keys drawn at random from the given number of distinct keys.
+func benchmark(b *testing.B, tab *Table, distinct uint64, rate float64) {
 	b.ReportAllocs()
 	r := rand.New(rand.NewPCG(1, 1))
 	now := int64(0)
 	for b.Loop() {
 		now += 5000
-		use(tab, mix(r.Uint64N(different)+1, 0xd6e8feb86659fd93), now, rate, 5)
+		use(tab, mix(r.Uint64N(distinct)+1, 0xd6e8feb86659fd93), now, rate, 5)
 	}
 }
 
-// Of a look at keys that are kept, and at ever new ones: 1,000, a million and 100 million of them.
+// Measures lookups of keys that the table holds and of mostly new ones: 1,000, a million and
+// 100 million distinct keys.
 func BenchmarkTable(b *testing.B) {
 	for _, n := range []uint64{1e3, 1e6, 1e8} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) { benchmark(b, New(1<<16), n, 10) })
 	}
 }
 
-// The same with a plain map that forgets nothing, beside which memory grows with the keys.
+// Measures the same with a plain map for comparison. It evicts nothing, so its memory grows with the
+// number of keys.
 func BenchmarkMap(b *testing.B) {
 	for _, n := range []uint64{1e3, 1e6} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
