--- a/internal/limit/heavy/heavy.go
+++ b/internal/limit/heavy/heavy.go
@@ -82,11 +82,11 @@
 
 // Top returns up to n of the heaviest keys, heaviest first, with their decayed counts.
 func (l *List) Top(n int) []Key {
-	keys := slices.Clone(l.keys)
-	for i := range keys {
-		keys[i].Count /= l.gain
-		keys[i].Error /= l.gain
+	top := slices.Clone(l.keys)
+	for i := range top {
+		top[i].Count /= l.gain
+		top[i].Error /= l.gain
 	}
-	slices.SortFunc(keys, func(x, y Key) int { return cmp.Or(cmp.Compare(y.Count, x.Count), cmp.Compare(x.Hash, y.Hash)) })
-	return keys[:min(n, len(keys))]
+	slices.SortFunc(top, func(x, y Key) int { return cmp.Or(cmp.Compare(y.Count, x.Count), cmp.Compare(x.Hash, y.Hash)) })
+	return top[:min(n, len(top))]
 }
--- a/internal/limit/table/table.go
+++ b/internal/limit/table/table.go
@@ -12,7 +12,7 @@
 // key is forgotten instead, and counted.
 //
 // Package table contains no limit rules and reads no clock: the caller passes instants in nanoseconds,
-// from 0 on. If an instant is before one passed earlier, the earlier one is used again.
+// from 0 on. If an instant is before the latest one passed to the same shard, the latest one is used.
 // docs/design/limits.md has the bounds.
 package table
 
