--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -72,7 +72,7 @@
 	Request frostshift.Request // Req; its ID also in Withdrawn and Flowing
 	Attempt int                // Flowing
 	Outcome frostshift.Outcome // AttemptEnd
-	Token   uint64             // Ring
+	Token   uint64             // TimerFired
 }
 
 // Reader reads batches and the events in them.
